--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -1,9 +1,9 @@
-"""What one host knows of upstreams beyond their list: pure.
+"""One host's view of all upstreams, beyond the upstream list: pure.
 
-It joins what the modules beside it hold: requests in flight
-(`egretspur.routing.memory`), which upstreams failed of late
-(`egretspur.routing.health`), how fast they are (`egretspur.routing.paces`),
-what they ask of hosts (`egretspur.routing.backpressure`).
+Combines the requests in flight (`egretspur.routing.memory`), recent failures
+(`egretspur.routing.health`), engine speeds (`egretspur.routing.paces`) and
+the limits and backoffs that upstreams ask for
+(`egretspur.routing.backpressure`).
 """
 
 from __future__ import annotations
@@ -29,58 +29,61 @@
     paths,
 )
 
-# A data centre none of whose hosts was heard for so long is cut off from this
-# one, or its hosts are down; its engines are used only if no others do. Its
-# speaker is heard four times a second, through this one's; where either dies
-# another speaks within 1.5 s, so data centres may come last in the choice for
-# some 0.4 s.
+# A data centre that sent no peer update for this long counts as cut off: the
+# network is partitioned or its hosts are down, and its engines are used only
+# if no others can serve. Its speaker's updates arrive four times a second
+# through the local speaker. If either speaker dies, another one takes over
+# within 1.5 s, so a data centre may wrongly count as cut off for some 0.4 s.
 CUT_OFF_S: Final = 1.3
 
-# Weight of a new sample in the smoothed time of a plain service's answer.
+# Weight of a new sample in a plain replica's smoothed response time.
 TIME_WEIGHT: Final = 0.2
 
-# How much slower a replica counts that stands in a data centre that is cut off.
+# Factor on the expected wait of a replica in a data centre that is cut off.
 CUT_OFF_COST: Final = 20.0
 
-# Answer time assumed of a plain service before the first sample, in seconds.
+# Response time assumed for a plain replica before the first sample.
 FIRST_TIME_S: Final = 0.05
 
 
 @attrs.frozen
 class PeerNews:
-    """What another host has in flight."""
+    """State of another host, as its peer update carries it."""
 
     host: str
     data_centre: str
     usage: Mapping[str, jobs.Usage]
-    # Engines that run slower than their kind.
+    # Factors by which engines are slower than their accelerator type usually
+    # is; slow engines only.
     pace: Mapping[str, float]
-    # Upstreams that it found dead.
+    # Upstreams whose probes failed until they counted as dead.
     dead: tuple[str, ...]
     # Layers that engines reported to it.
     layers: Mapping[str, upstreams.AgedLayers]
-    # Request memory beyond what the hosts count, by engine.
+    # Request memory in use beyond what the hosts count, by engine.
     excess: Mapping[str, float] = attrs.Factory(dict)
-    # Upstreams that it, or a speaker's whole data centre, finds failing.
+    # Upstreams that the host finds failing; in a speaker's update, those that
+    # any host of its data centre finds failing.
     suspects: tuple[str, ...] = ()
-    # What it, or a speaker's whole data centre, spent of the retry budgets.
+    # Retry budget spent by the host; in a speaker's update, by its whole data
+    # centre.
     spent: Mapping[str, shared.Spent] = attrs.Factory(dict)
-    # Upstreams that ended under requests, by fingerprint; none where it was
-    # answered.
+    # Upstreams that crashed under requests, by the request's fingerprint; empty
+    # once the request was answered.
     ended: Mapping[str, quarantine.Ends] = attrs.Factory(dict)
-    # It does not know what was spent before it started.
+    # The host started recently: its `spent` lacks what was spent before.
     is_new: bool = False
-    # Limits that upstreams named, or name no more, as far as it knows.
+    # Rate limits that upstreams set or lifted.
     limits: Mapping[str, throttle.Told] = attrs.Factory(dict)
 
 
 @attrs.frozen
 class _StepCosts:
-    """What of an engine's times is the same for all engines of a service."""
+    """Step times that all engines of a service have in common."""
 
-    # Seconds of a step that one more request takes.
+    # Seconds that each further request adds to a step.
     request_s: float
-    # Seconds of a whole chunk of a prompt.
+    # Seconds that a full prompt chunk takes.
     chunk_s: float
 
     @classmethod
@@ -102,12 +105,13 @@
         is_counting_excess: bool = True,
         limits: throttle.Throttle | None = None,
     ) -> None:
-        """Makes a state that knows no upstream.
+        """Makes an empty fleet.
 
         Args:
             data_centre: Of this host.
-            is_counting_excess: Engines' own words on their memory count.
-            limits: This host's part of the limits that upstreams name.
+            is_counting_excess: Whether memory that engines report beyond the
+                hosts' own count reduces their free memory.
+            limits: This host's shares of the upstreams' rate limits.
         """
         self.data_centre = data_centre
         self.throttle = limits or throttle.Throttle()
@@ -116,18 +120,18 @@
         self.memory = memory.Memory(data_centre)
         self.health = health.Health(self._note)
         self.paces = paces.Paces()
-        # Smoothed seconds of a plain service's answers.
+        # Smoothed response times of plain replicas.
         self.times: dict[str, float] = {}
         self.moves = moves.Moves(self.roster)
-        # Upstreams by service and data centre, as of a change of the list:
-        # each choice of a path asks for them.
+        # Upstreams by service and data centre, cached until the list changes:
+        # each path search needs them.
         self._grouped: dict[str, dict[str, list[upstreams.Upstream]]] = {}
         self._grouped_at = -1
-        # Found failing as other hosts were last told.
+        # Suspects at the last call of `take_new_suspects`.
         self._suspects: set[str] = set()
-        # News and probes taken, each of which may show room.
+        # Peer updates and probe results applied; each may reveal free memory.
         self._learned = 0
-        # What changed in the beliefs about upstreams, for the log.
+        # State changes of upstreams that are not yet logged.
         self.notes: list[decisions.Decision] = []
         self.backpressure = backpressure.Backpressure(
             data_centre, self.roster, self.health, self.throttle, self.notes
@@ -153,17 +157,17 @@
         ]
 
     def get_revision(self) -> int:
-        """Returns a number that differs once there may be room anew.
+        """Returns a number that changes when capacity may have been freed.
 
-        It stays the same while only time passes, and where there is less room.
+        It stays the same while only time passes or less memory is free.
         """
         return self._learned + self.get_own_revision()
 
     def get_own_revision(self) -> int:
-        """Returns a number that differs once there may be room by this host.
+        """Returns a number that changes when this host may see free capacity.
 
-        That is where it gives some back, and where the list or what an
-        upstream asks for changes; not where others tell of their requests.
+        It changes when a request of this host ends, the list changes, or an
+        upstream sets or lifts a limit. Peer updates leave it unchanged.
         """
         return (
             self.roster.changes
@@ -172,13 +176,13 @@
         )
 
     def hear(self, news: PeerNews, now_s: float) -> None:
-        """Takes what another host said."""
+        """Merges another host's peer update."""
         self._learned += 1
         self.memory.hear(
             news.host, news.data_centre, news.usage, news.excess, now_s
         )
         self.paces.hear(news.pace, now_s)
-        # A host in the same data centre sees what this one would see.
+        # Only hosts of this data centre reach upstreams the way this host does.
         if news.data_centre == self.data_centre:
             for upstream_id in news.dead:
                 if upstream_id in self.roster.entries:
@@ -189,11 +193,11 @@
         self.backpressure.hear(news.host, news.data_centre, news.limits, now_s)
 
     def _hear_suspects(self, news: PeerNews, now_s: float) -> None:
-        """Takes what another host finds failing.
+        """Merges the upstreams that another host suspects.
 
-        From another data centre only what it says of its own upstreams: where
-        the two others are cut off from each other, each finds all upstreams
-        of the other failing, which are well for this one.
+        A host of another data centre is believed only about its own upstreams:
+        when two other data centres are cut off from each other, each finds all
+        upstreams of the other failing, though this host still reaches them.
         """
         for upstream_id in news.suspects:
             entry = self.roster.entries.get(upstream_id)
@@ -204,11 +208,11 @@
                 self.health.hear_suspect(upstream_id, now_s)
 
     def is_asking(self) -> bool:
-        """Tells whether an upstream is to be asked that has just failed."""
+        """Tells whether a new failure or slowdown awaits a probe."""
         return self.health.is_asking() or self.paces.is_asking()
 
     def take_new_suspects(self, now_s: float) -> bool:
-        """Tells whether upstreams were found failing since the last call."""
+        """Tells whether there are new suspects since the last call."""
         before, self._suspects = (
             self._suspects,
             set(self.health.list_suspects(now_s)),
@@ -216,12 +220,13 @@
         return not self._suspects <= before
 
     def list_suspects(self, now_s: float, is_speaker: bool) -> tuple[str, ...]:
-        """Returns the upstreams to tell other hosts of as failing.
+        """Returns the suspects to send to other hosts.
 
         Args:
             now_s: Monotonic time.
-            is_speaker: For other data centres, to which this host speaks for
-                its own: what any of its hosts finds of its upstreams.
+            is_speaker: Whether the update goes to other data centres on behalf
+                of this one. It then has the suspects of all local hosts, but
+                only those in this data centre.
         """
         found = self.health.list_suspects(now_s)
         if not is_speaker:
@@ -234,7 +239,7 @@
         )
 
     def list_cut_off(self, now_s: float) -> set[str]:
-        """Returns the data centres whose hosts fell silent, all of them."""
+        """Returns the data centres of which no host sent updates recently."""
         last: dict[str, float] = {}
         for peer in self.memory.peers.values():
             known = last.get(peer.data_centre, 0.0)
@@ -249,15 +254,15 @@
         self.notes.append(decisions.UpstreamChanged(upstream_id, state, reason))
 
     def note_time(self, upstream_id: str, seconds: float) -> None:
-        """Takes the time of a plain service's answer."""
+        """Adds a response time of a plain replica."""
         old = self.times.get(upstream_id, seconds)
         self.times[upstream_id] = old + TIME_WEIGHT * (seconds - old)
 
     @contextlib.contextmanager
     def noting_changes(self, now_s: float) -> Iterator[None]:
-        """Notes what changes on the list within the block.
+        """Records the list changes made within the block.
 
-        For the log, and layers for the other hosts.
+        They go to the log, and changed layers to the other hosts.
         """
         before = dict(self.roster.entries)
         unreadable = set(self.roster.unreadable)
@@ -285,10 +290,10 @@
             )
 
     def _note_listed(self, entries: Sequence[upstreams.Upstream]) -> None:
-        """Notes entries that are new on the list.
+        """Logs entries that are new on the list.
 
-        In one line where they are many: two hundred hosts that start before
-        two hundred upstreams would write forty thousand.
+        Many new entries share one line: two hundred hosts that start before
+        two hundred upstreams would otherwise write forty thousand lines.
         """
         if len(entries) > decisions.NAMED:
             names = _name_some([e.id for e in entries])
@@ -300,7 +305,7 @@
     def _note_strange(
         self, unfit: Mapping[str, str], unreadable: set[str]
     ) -> None:
-        """Notes entries that have turned out to be no upstream's own."""
+        """Logs entries that were newly rejected as invalid."""
         for name, field in self.roster.unfit.items():
             if unfit.get(name) != field:
                 self.notes.append(
@@ -322,10 +327,10 @@
         report: upstreams.EngineReport | None,
         now_s: float,
     ) -> None:
-        """Takes an engine's answer to a probe; None if there was none.
+        """Applies an engine's probe report; None if the probe failed.
 
-        A report of another start tells nothing of this one. A newer start
-        takes its place at once.
+        A report of another incarnation says nothing about this one. A newer
+        incarnation replaces the entry at once.
         """
         entry = self.roster.entries.get(upstream_id)
         if report is None or entry is None:
@@ -337,13 +342,14 @@
             return
         with self.noting_changes(now_s):
             upstreams.note_restart(self.roster, upstream_id, report, now_s)
-        # Asked again if it still counts: the report was of an older start.
+        # If the entry remains, the report was of an older incarnation and the
+        # upstream is probed again.
         self.health.note_unanswered(upstream_id)
 
     def note_probe(
         self, upstream_id: str, is_ok: bool, pace: float, now_s: float
     ) -> None:
-        """Takes whether an upstream answered a probe, and its pace."""
+        """Records whether an upstream answered a probe, and its pace."""
         self._learned += 1
         if is_ok and self.paces.note(upstream_id, pace):
             is_slow = pace > paces.USUAL
@@ -355,13 +361,14 @@
     def _note_memory(
         self, upstream_id: str, report: upstreams.EngineReport, now_s: float
     ) -> None:
-        """Takes an engine's own word on its memory."""
+        """Applies the memory usage that an engine reports."""
         if not self._is_counting_excess:
             return
         counted = self.memory.get_usage(upstream_id, now_s).room
         known = self.memory.get_excess(upstream_id, now_s)
         beyond = self.memory.note_used(upstream_id, report.used, now_s)
-        # An engine is asked several times a second while it refuses.
+        # Logged only when first exceeded: an engine that refuses work is probed
+        # several times a second.
         if beyond > memory.EXCESS_NOTED * report.size > known:
             self._note(
                 upstream_id,
@@ -371,7 +378,7 @@
             )
 
     def take_probes(self, now_s: float) -> list[upstreams.Upstream]:
-        """Returns the upstreams to ask now, for their health or pace."""
+        """Returns the upstreams to probe now for their health or pace."""
         listed = self.roster.entries
         due = [
             i for i in self.paces.take_due(now_s) if i not in self.health.failed
@@ -385,10 +392,10 @@
         return [listed[i] for i in due if i in listed]
 
     def compute_digest(self) -> int:
-        """Returns a number that differs where the list differs.
+        """Returns a checksum of the upstream list.
 
-        Of layers it takes what the list says, not what an engine said since:
-        that ends, and then all hosts must have the same list.
+        It covers the listed layers rather than those that engines reported
+        since: reports expire, and then all hosts must agree on the list.
         """
         roster = self.roster
         rows = []
@@ -396,7 +403,7 @@
             layers = upstreams.get_listed(roster, entry.id)
             held = f"{layers.first}-{layers.last}" if layers else "none"
             if entry.id in roster.unreadable:
-                # A host that has read the list anew does not know it at all.
+                # A host that read the whole list again has no such entry.
                 continue
             rows.append(
                 f"{entry.id} {entry.address} {entry.is_draining} {held}"
@@ -404,7 +411,7 @@
         return zlib.crc32("\n".join(sorted(rows)).encode())
 
     def forget_gone(self) -> None:
-        """Drops what is known of upstreams that are no longer listed."""
+        """Drops the state of upstreams that are no longer listed."""
         listed = self.roster.entries
         tables: tuple[dict[str, Any], ...] = (
             self.times,
@@ -421,7 +428,7 @@
     def offer(
         self, service: str, spec: config.EngineSpec, now_s: float
     ) -> cards.Cards:
-        """Returns a service's usable engines that hold layers."""
+        """Returns the candidates for a path: usable engines with layers."""
         places = self._group_by_place(service)
         costs = _StepCosts.make(spec)
 
@@ -439,7 +446,7 @@
     def _group_by_place(
         self, service: str
     ) -> Mapping[str, Sequence[upstreams.Upstream]]:
-        """Returns a service's upstreams by data centre, in their order."""
+        """Returns a service's upstreams by data centre, sorted by its name."""
         if self._grouped_at != self.roster.changes:
             self._grouped_at = self.roster.changes
             self._grouped.clear()
@@ -459,7 +466,7 @@
         costs: _StepCosts,
         now_s: float,
     ) -> paths.Card | None:
-        """Returns what an engine offers; None if it holds no layers."""
+        """Returns an engine as a path candidate; None if it has no layers."""
         kind = spec.accelerators.get(entry.accelerator)
         if entry.layers is None or kind is None:
             return None
@@ -488,12 +495,12 @@
         offers: Sequence[paths.Card],
         now_s: float,
     ) -> decisions.PathMissing:
-        """Returns why there is no path for a request.
+        """Returns why no path was found for a request.
 
         Args:
-            spec: Of its service.
+            spec: Of the request's service.
             job: The request.
-            offers: Usable engines, as a path was last looked for.
+            offers: Candidates of the last path search.
             now_s: Monotonic time.
         """
         held = [(c.first, c.last) for c in offers]
@@ -533,11 +540,12 @@
     def list_late(
         self, service: config.Service, longest_pass_s: float, now_s: float
     ) -> set[str]:
-        """Returns the engines that are too slow for prompt answers.
+        """Returns the slow engines that would make answers late.
 
         Args:
-            service: Theirs.
-            longest_pass_s: Longest pass of an engine on a prompt path.
+            service: Service of the engines.
+            longest_pass_s: Longest pass of one engine that keeps answers on
+                time.
             now_s: Monotonic time.
         """
         spec = service.engine
@@ -553,7 +561,7 @@
     def describe_path(
         self, spec: config.EngineSpec, parts: Sequence[paths.Part], now_s: float
     ) -> tuple[float, float]:
-        """Returns a path's expected step and its tightest stage.
+        """Returns a path's expected step time and least free memory.
 
         Args:
             spec: Of the path's service.
@@ -561,8 +569,8 @@
             now_s: Monotonic time.
 
         Returns:
-            Seconds of one step, and the least free part of a stage's request
-            memory, from 0 to 1.
+            Seconds of one step, and the smallest free fraction, from 0 to 1, of
+            any of its engines' request memory.
         """
         step_s = 0.0
         free = 1.0
@@ -585,9 +593,9 @@
         """Returns a plain service's replica with the shortest expected wait.
 
         Args:
-            service: Its name.
-            avoid: Replicas that are chosen only where there is no other.
-            refused: Replicas that are not chosen.
+            service: Name of the service.
+            avoid: Replicas to use only if there is no other.
+            refused: Replicas never to use.
             now_s: Monotonic time.
         """
         usable = [
@@ -612,5 +620,5 @@
 
 
 def _name_some(ids: Sequence[str]) -> tuple[str, ...]:
-    """Returns as many ids as a log line names."""
+    """Returns the first ids, as many as a log line may name."""
     return tuple(sorted(ids)[: decisions.NAMED])
--- a/egretspur/routing/search.py
+++ b/egretspur/routing/search.py
@@ -1,8 +1,8 @@
-"""Looks for the paths of one host's requests: pure.
+"""Searches paths for one host's requests: pure.
 
-It brings together what engines offer (`egretspur.routing.fleet`), where a path
-is looked for (`egretspur.routing.choice`) and what a running request may still
-change of its path. Read next: `egretspur.routing.paths`.
+Combines the candidate engines (`egretspur.routing.fleet`) with the order in
+which data centres are searched (`egretspur.routing.choice`), and reroutes
+running requests. Read next: `egretspur.routing.paths`.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from egretspur.catalog import config
 from egretspur.routing import cards, choice, fleet, jobs, paths
 
-# Where no path had room, none is looked for so long for a request that wants
-# as much, unless this host learns of a change. While nothing has room requests
-# queue up, and each tick and each arrival would look again: several
-# milliseconds each time on a host with half a core. What changes by time alone,
-# such as the end of an engine's pause, is noticed after it; a request waits up
-# to 0.4 s.
+# After a search found no path, requests of the same or a larger size are not
+# searched for again for this long, unless this host learns of a change. While
+# all engines are full, each tick and arrival would otherwise search again, at
+# several milliseconds each on a host with half a core. Changes by time alone,
+# such as the end of an engine's pause, are seen after this delay, which is
+# short against the 0.4 s that a request may wait.
 NO_ROOM_S: Final = 0.05
 
 
 @attrs.frozen
 class _NoRoom:
-    """No path had room for a request."""
+    """A search that found no path with enough free memory."""
 
     tokens: float
     until_s: float
-    # Of what is known of the upstreams; see `fleet.Fleet.get_revision`.
+    # State of the upstreams at the search; see `fleet.Fleet.get_revision`.
     revision: int
 
 
 class Search:
-    """See the module's docstring."""
+    """Path search of one host; see the module's docstring."""
 
     def __init__(
         self,
@@ -49,20 +49,20 @@
         """Makes a search.
 
         Args:
-            state: What is known of upstreams.
-            using: What it decides by.
-            rng: Draws data centres.
+            state: View of the upstreams.
+            using: Mechanisms that are switched on.
+            rng: Shuffles the data centres.
         """
         self._fleet = state
         self._using = using
         self._rng = rng
-        # By service.
+        # Last failed search, by service.
         self._no_room: dict[str, _NoRoom] = {}
 
     def offer(
         self, job: jobs.Job, spec: config.EngineSpec, now_s: float
     ) -> cards.Cards:
-        """Returns the engines that may be given a request."""
+        """Returns the candidate engines for a request."""
         return self._fleet.offer(job.service, spec, now_s)
 
     def find(
@@ -73,17 +73,18 @@
         now_s: float,
         refused: Collection[str] = (),
     ) -> tuple[paths.Part, ...] | None:
-        """Finds a path, without engines that failed the request if it can.
+        """Finds a path, avoiding engines that failed the request if possible.
 
-        Which stage broke an answer often isn't known; the first is suspected.
-        Where there is no way around it, it is tried again if it is alive.
+        Often it is unknown which stage broke an answer, and the first one is
+        blamed. If no path avoids the blamed engine, it is used again while it
+        is usable.
 
         Args:
             job: The request.
-            spec: Of its service.
-            failed: Engines that failed it.
+            spec: Of the request's service.
+            failed: Engines that failed the request.
             now_s: Monotonic time.
-            refused: Engines that turned it away just now.
+            refused: Engines that just refused the request; never used.
         """
         if self._is_hopeless(job, now_s):
             return None
@@ -98,7 +99,7 @@
         return parts
 
     def _is_hopeless(self, job: jobs.Job, now_s: float) -> bool:
-        """Tells whether a request that wants no more has just found no path."""
+        """Tells whether a request of at most this size just found no path."""
         known = self._no_room.get(job.service)
         return (
             known is not None
@@ -128,7 +129,7 @@
     def explain(
         self, job: jobs.Job, spec: config.EngineSpec, now_s: float
     ) -> decisions.PathMissing:
-        """Returns why there is no path for a request."""
+        """Returns why no path was found for a request."""
         offers = self.offer(job, spec, now_s).list_all()
         return self._fleet.explain_missing(spec, job, offers, now_s)
 
@@ -141,18 +142,19 @@
         may_resume: bool,
         now_s: float,
     ) -> jobs.Detour:
-        """Finds how a running request gets past engines that hold it up.
+        """Finds how to reroute a running request around stalled engines.
 
-        Within its data centres if it can be. To another one its tokens so far
-        would have to go layer by layer, 26 ms a request over a pipe that all
-        share; sent anew, its text goes there once.
+        Prefers a new tail within the data centres that the path already uses.
+        To move a running request to another data centre, the activations of
+        its tokens cross the shared link layer by layer, 26 ms a request; a
+        retry sends the text once, so it comes second.
 
         Args:
             job: The request.
-            spec: Of its service.
-            parts: Its path.
-            stalled: The engines to leave.
-            may_resume: It may be ended and sent once more.
+            spec: Of the request's service.
+            parts: The request's path.
+            stalled: Engines to avoid.
+            may_resume: Whether the request may be ended and retried.
             now_s: Monotonic time.
         """
         offers = self.offer(job, spec, now_s).leave_out(stalled)
@@ -185,9 +187,9 @@
         places: Container[str],
         longest_s: float,
     ) -> tuple[paths.Part, ...] | None:
-        """Finds a path with the same first part over some data centres."""
+        """Finds a path in given data centres that keeps the first part."""
         home = self._fleet.data_centre
-        # Offers just the first part, which the request has there.
+        # Stands for the first part, whose memory the request already holds.
         kept = paths.Card(
             first.id,
             first.address,
