--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -97,9 +97,9 @@
     )
 
 
-def read(news: datagrams.News) -> fleet.PeerNews:
+def read(news: datagrams.News) -> fleet.PeerUpdate:
     """Returns what the broker takes of another host's news."""
-    return fleet.PeerNews(
+    return fleet.PeerUpdate(
         host=news.host,
         data_centre=news.data_centre,
         usage=news.usage,
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -349,9 +349,9 @@
                 upstreams.change(self.fleet.roster, name, entry, now_s)
         return self.refresh(now_s)
 
-    def hear(self, news: fleets.PeerNews, now_s: float) -> None:
+    def hear(self, news: fleets.PeerUpdate, now_s: float) -> None:
         """Takes what another host said."""
-        self.fleet.hear(news, now_s)
+        self.fleet.apply_peer_update(news, now_s)
         self.quarantine.hear(news.ended, now_s)
         self._crashes.settle(now_s)
         self.repeats.hear(
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -116,7 +116,7 @@
 class Heard:
     """What other hosts said, oldest first."""
 
-    news: tuple[fleet.PeerNews, ...]
+    news: tuple[fleet.PeerUpdate, ...]
     # Hosts that share the retry budget, as far as this one knows.
     hosts: int
 
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class PeerNews:
+class PeerUpdate:
     """State of another host, as its peer update carries it."""
 
     host: str
@@ -175,33 +175,35 @@
             + self.backpressure.changes
         )
 
-    def hear(self, news: PeerNews, now_s: float) -> None:
+    def apply_peer_update(self, update: PeerUpdate, now_s: float) -> None:
         """Merges another host's peer update."""
         self._learned += 1
         self.memory.hear(
-            news.host, news.data_centre, news.usage, news.excess, now_s
+            update.host, update.data_centre, update.usage, update.excess, now_s
         )
-        self.paces.hear(news.pace, now_s)
+        self.paces.hear(update.pace, now_s)
         # Only hosts of this data centre reach upstreams the way this host does.
-        if news.data_centre == self.data_centre:
-            for upstream_id in news.dead:
+        if update.data_centre == self.data_centre:
+            for upstream_id in update.dead:
                 if upstream_id in self.roster.entries:
                     self.health.note_down(upstream_id, now_s)
-        self._hear_suspects(news, now_s)
-        for upstream_id, told in news.layers.items():
+        self._apply_peer_suspects(update, now_s)
+        for upstream_id, told in update.layers.items():
             self.moves.hear(upstream_id, told, now_s)
-        self.backpressure.hear(news.host, news.data_centre, news.limits, now_s)
+        self.backpressure.hear(
+            update.host, update.data_centre, update.limits, now_s
+        )
 
-    def _hear_suspects(self, news: PeerNews, now_s: float) -> None:
+    def _apply_peer_suspects(self, update: PeerUpdate, now_s: float) -> None:
         """Merges the upstreams that another host suspects.
 
         A host of another data centre is believed only about its own upstreams:
         when two other data centres are cut off from each other, each finds all
         upstreams of the other failing, though this host still reaches them.
         """
-        for upstream_id in news.suspects:
+        for upstream_id in update.suspects:
             entry = self.roster.entries.get(upstream_id)
-            if entry is not None and news.data_centre in (
+            if entry is not None and update.data_centre in (
                 self.data_centre,
                 entry.data_centre,
             ):
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -139,7 +139,7 @@
 def hear_ends(state: broker.Broker, count: int, now_s: float) -> None:
     """Has a broker hear that some engines ended under the request."""
     ends = {f"start-{i}": 1.0 for i in range(count)}
-    news = fleet.PeerNews(
+    news = fleet.PeerUpdate(
         "10.9.0.1", "kl-hall", {}, {}, (), {}, ended={crashes.FATAL: ends}
     )
     state.hear(news, now_s)
--- a/tests/steps/suspects_steps.py
+++ b/tests/steps/suspects_steps.py
@@ -126,9 +126,9 @@
                     state.fleet.hear(news, context.now_s)
 
 
-def make_news(host: str, suspects: tuple[str, ...]) -> fleet.PeerNews:
+def make_news(host: str, suspects: tuple[str, ...]) -> fleet.PeerUpdate:
     """Returns news of failing engines alone."""
-    return fleet.PeerNews(
+    return fleet.PeerUpdate(
         host, PLACES[host], {}, {}, (), {}, {}, suspects=suspects
     )
 
