--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -145,11 +145,11 @@
         self,
         job: jobs.Job,
         spec: config.EngineSpec,
-        offers: cards.Cards,
+        candidates: cards.Candidates,
         now_s: float,
     ) -> tuple[paths.Part, ...] | None:
         """See `search.Search.choose`."""
-        for near in (offers.get(self._home), offers.list_all()):
+        for near in (candidates.get(self._home), candidates.list_all()):
             drawn = [
                 d
                 for _ in range(2)
@@ -160,7 +160,7 @@
         return None
 
     def _draw(
-        self, cards: Sequence[paths.Card], layers: int, tokens: float
+        self, cards: Sequence[paths.Candidate], layers: int, tokens: float
     ) -> tuple[paths.Part, ...]:
         """Returns a random path of engines with room, empty if it ends."""
         parts: list[paths.Part] = []
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -327,8 +327,10 @@
         return frozenset(
             upstream_id
             for service in cfg.find_engine_services()
-            for upstream_id in view.list_late(
-                service, choice.compute_shortest_bound(cfg, service.name), now_s
+            for upstream_id in view.list_too_slow(
+                service,
+                choice.compute_min_pass_limit_s(cfg, service.name),
+                now_s,
             )
         )
 
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -314,7 +314,7 @@
                 tuple(sorted(stalled)),
                 now_s - stream.heard_s,
                 problem,
-                paths.describe(parts),
+                paths.format_path(parts),
             )
         )
         if problem:
--- a/egretspur/routing/backpressure.py
+++ b/egretspur/routing/backpressure.py
@@ -113,7 +113,9 @@
         self._throttle.take(upstream_id, now_s)
         return True
 
-    def hold_back(self, card: paths.Card, now_s: float) -> paths.Card | None:
+    def hold_back(
+        self, card: paths.Candidate, now_s: float
+    ) -> paths.Candidate | None:
         """Returns what an engine offers within its limit.
 
         Requests are sent to a path's first engine. One at its limit may still
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -93,7 +93,7 @@
 
     def take_notes(self) -> list[decisions.Decision]:
         """Returns what was decided since the last call, for the log."""
-        sources = (self._notes, self.fleet.notes, self._crashes.notes)
+        sources = (self._notes, self.fleet.log_events, self._crashes.notes)
         notes = [n for source in sources for n in source]
         for source in sources:
             source.clear()
@@ -165,7 +165,9 @@
                 self.fleet.health.note_success(part.id, now_s)
             return
         self.fleet.health.note_success(ticket.upstream_id, now_s)
-        self.fleet.note_time(ticket.upstream_id, now_s - ticket.started_s)
+        self.fleet.record_response_time(
+            ticket.upstream_id, now_s - ticket.started_s
+        )
 
     def note_signals(
         self, upstream_id: str, answer: signals.Signals, now_s: float
@@ -243,7 +245,7 @@
         may_resume: bool,
         now_s: float,
     ) -> jobs.Detour:
-        return self.search.find_detour(
+        return self.search.find_reroute(
             ticket.job, spec, ticket.parts, stalled, may_resume, now_s
         )
 
@@ -320,7 +322,7 @@
     ) -> list[jobs.Effect]:
         """Takes a new configuration."""
         self._services = cfg.services
-        with self.fleet.noting_changes(now_s):
+        with self.fleet.recording_list_changes(now_s):
             upstreams.configure(self.fleet.roster, cfg.services, now_s)
         return self.refresh(now_s)
 
@@ -331,7 +333,7 @@
     ) -> list[jobs.Effect]:
         """Takes the whole list of upstreams, by name."""
         self.listed_s = now_s
-        with self.fleet.noting_changes(now_s):
+        with self.fleet.recording_list_changes(now_s):
             upstreams.replace(self.fleet.roster, entries, now_s)
         return self.refresh(now_s)
 
@@ -344,7 +346,7 @@
     ) -> list[jobs.Effect]:
         """Takes changes of the list of upstreams; None for a removal."""
         self.listed_s = now_s
-        with self.fleet.noting_changes(now_s):
+        with self.fleet.recording_list_changes(now_s):
             for name, entry in entries:
                 upstreams.change(self.fleet.roster, name, entry, now_s)
         return self.refresh(now_s)
@@ -365,13 +367,13 @@
 
     def refresh(self, now_s: float) -> list[jobs.Effect]:
         """Starts what can, after the list of upstreams changed."""
-        self.fleet.forget_gone()
+        self.fleet.remove_unlisted()
         self._crashes.settle(now_s)
         return self._start_waiting(now_s)
 
     def tick(self, now_s: float) -> list[jobs.Effect]:
         """Refuses what came due and starts what can."""
-        with self.fleet.noting_changes(now_s):
+        with self.fleet.recording_list_changes(now_s):
             upstreams.expire(self.fleet.roster, now_s)
         self._crashes.settle(now_s)
         effects: list[jobs.Effect] = []
@@ -383,7 +385,7 @@
         """Tells whether something may come due at any moment."""
         return (
             bool(self.queue.waiting)
-            or self.fleet.is_asking()
+            or self.fleet.has_pending_probes()
             or self.quarantine.is_settling()
         )
 
@@ -528,7 +530,7 @@
         """Notes for the log why a request waits."""
         spec = self._get_spec(job.service)
         if spec is not None:
-            self._notes.append(self.search.explain(job, spec, now_s))
+            self._notes.append(self.search.explain_missing(job, spec, now_s))
 
     def _start_waiting(self, now_s: float) -> list[jobs.Effect]:
         """Serves the queue, unless that was done just now."""
@@ -592,7 +594,7 @@
                 service.name, ticket.failed, refused, now_s
             )
             return self._start(ticket, replica, now_s) if replica else None
-        parts = self.search.find(
+        parts = self.search.find_path(
             ticket.job, service.engine, ticket.failed, now_s, refused
         )
         if parts is None:
@@ -638,7 +640,7 @@
             ticket.job.id,
             ticket.attempts,
             entry.id,
-            paths.describe(ticket.parts),
+            paths.format_path(ticket.parts),
             step_s,
             free,
             now_s - self.listed_s,
--- a/egretspur/routing/cards.py
+++ b/egretspur/routing/cards.py
@@ -1,8 +1,8 @@
-"""Engines that a path may use, made out one data centre at a time: pure.
+"""Path candidates, computed lazily by data centre: pure.
 
-Most requests find a path in the data centre of their host. Making out what
-every engine of all data centres has to offer, some two hundred, costs more
-than that search itself.
+Most requests find a path in the data centre of their host. Computing the
+candidates of all data centres, some two hundred engines, costs more than that
+search itself.
 """
 
 from __future__ import annotations
@@ -12,44 +12,48 @@
 from egretspur.routing import paths
 
 
-class Cards:
-    """Usable engines by data centre."""
+class Candidates:
+    """Usable engines by data centre, computed on first use."""
 
     def __init__(
         self,
-        places: Iterable[str],
-        read: Callable[[str], Sequence[paths.Card]],
+        data_centres: Iterable[str],
+        read: Callable[[str], Sequence[paths.Candidate]],
     ) -> None:
         """Makes a view.
 
         Args:
-            places: Data centres that have engines.
-            read: Returns the usable ones of a data centre; called once for
-                each at most.
+            data_centres: Data centres that have engines.
+            read: Returns a data centre's usable engines; called at most once
+                for each.
         """
-        self.places = tuple(places)
+        self.data_centres = tuple(data_centres)
         self._read = read
-        self._known: dict[str, Sequence[paths.Card]] = {}
+        self._known: dict[str, Sequence[paths.Candidate]] = {}
 
-    def get(self, place: str) -> Sequence[paths.Card]:
+    def get(self, data_centre: str) -> Sequence[paths.Candidate]:
         """Returns the engines of a data centre."""
-        found = self._known.get(place)
+        found = self._known.get(data_centre)
         if found is None:
-            found = self._read(place) if place in self.places else ()
-            self._known[place] = found
+            found = (
+                self._read(data_centre)
+                if data_centre in self.data_centres
+                else ()
+            )
+            self._known[data_centre] = found
         return found
 
-    def list_of(self, places: Iterable[str]) -> list[paths.Card]:
+    def list_in(self, data_centres: Iterable[str]) -> list[paths.Candidate]:
         """Returns the engines of some data centres."""
-        return [c for p in places for c in self.get(p)]
+        return [c for p in data_centres for c in self.get(p)]
 
-    def list_all(self) -> list[paths.Card]:
+    def list_all(self) -> list[paths.Candidate]:
         """Returns the engines of all data centres."""
-        return self.list_of(self.places)
+        return self.list_in(self.data_centres)
 
-    def leave_out(self, ids: Container[str]) -> Cards:
-        """Returns the engines but some."""
-        return Cards(
-            self.places,
-            lambda place: [c for c in self.get(place) if c.id not in ids],
+    def exclude(self, ids: Container[str]) -> Candidates:
+        """Returns the candidates without the given engines."""
+        return Candidates(
+            self.data_centres,
+            lambda d: [c for c in self.get(d) if c.id not in ids],
         )
--- a/egretspur/routing/choice.py
+++ b/egretspur/routing/choice.py
@@ -1,10 +1,11 @@
-"""Where the path of a request is looked for, in which order: pure.
-
-Near before far, and prompt before late. The pattern this answers: some engines
-turn many times slower, and every answer over one of them is late, though it is
-whole. While another data centre has room, an answer that goes there is prompt;
-the way there costs a fraction of a millisecond. Read next:
-`egretspur.routing.paths`, which finds the cheapest path over given engines.
+"""Order in which data centres are searched for a request's path: pure.
+
+A path on which the answer is on time comes before one on which it is late, and
+then a near path before a far one. When some engines become many times slower,
+every answer over one of them is complete but late. While another data centre
+has capacity, an answer from there is on time, and the way there costs a
+fraction of a millisecond. Read next: `egretspur.routing.paths`, which finds the
+cheapest path over given engines.
 """
 
 from __future__ import annotations
@@ -19,124 +20,138 @@
 from egretspur.catalog import config
 from egretspur.routing import cards, jobs, paths
 
-# Part of the pause that a route allows between two events that one engine's
-# pass may take. An event waits for the pass that is under way on the slowest
-# engine and for its own, and then for the steps of the others.
-PASS_PART: Final = 0.4
+# Fraction of a route's allowed gap between two events that one engine's pass
+# may take. An event waits for the current pass on the slowest engine, then for
+# its own pass there and for the steps of the other engines.
+MAX_PASS_FRACTION: Final = 0.4
 
-# Other data centres with a path that are compared.
-DRAWN: Final = 2
+# Paths are compared across this many other data centres; see
+# `_Finder.find_within_one`.
+COMPARED_DATA_CENTRES: Final = 2
 
 
 def choose(
     job: jobs.Job,
     spec: config.EngineSpec,
-    offers: cards.Cards,
+    candidates: cards.Candidates,
     cut_off: set[str],
     home: str,
     rng: random.Random,
-    is_prompt_first: bool = True,
+    prefers_on_time: bool = True,
 ) -> tuple[paths.Part, ...] | None:
-    """Finds a path on which the answer is prompt, else any.
+    """Finds a path on which the answer is on time, otherwise any path.
 
     Args:
         job: The request.
-        spec: Of its service.
-        offers: Usable engines.
-        cut_off: Data centres whose hosts are not heard.
+        spec: Of the request's service.
+        candidates: Usable engines.
+        cut_off: Data centres whose hosts sent no recent peer updates.
         home: Data centre of this host.
-        rng: Draws other data centres.
-        is_prompt_first: Else the nearest path is taken, however slow.
+        rng: Shuffles the other data centres.
+        prefers_on_time: Whether to prefer paths with answers on time; otherwise
+            the nearest path is used, however slow.
     """
-    others = [p for p in offers.places if p != home and p not in cut_off]
+    others = [
+        p for p in candidates.data_centres if p != home and p not in cut_off
+    ]
     rng.shuffle(others)
-    finder = _Finder(job, spec, offers, home)
-    bound_s = compute_longest_pass(job.route)
-    if is_prompt_first and bound_s < math.inf:
-        found = finder.find_within_one(others, bound_s)
-        if found is not None or not finder.has_slow(others, bound_s):
-            return found or finder.join(others)
-    return finder.find_within_one(others, math.inf) or finder.join(others)
+    finder = _Finder(job, spec, candidates, home)
+    max_pass_s = compute_max_pass_s(job.route)
+    if prefers_on_time and max_pass_s < math.inf:
+        found = finder.find_within_one(others, max_pass_s)
+        if found is not None or not finder.has_slow_engine(others, max_pass_s):
+            return found or finder.find_across(others)
+    return finder.find_within_one(others, math.inf) or finder.find_across(
+        others
+    )
 
 
 @attrs.frozen
 class _Finder:
-    """Looks for one request's path."""
+    """Path search for one request."""
 
     job: jobs.Job
     spec: config.EngineSpec
-    offers: cards.Cards
+    candidates: cards.Candidates
     home: str
 
     def find_within_one(
-        self, others: Sequence[str], longest_s: float
+        self, others: Sequence[str], max_pass_s: float
     ) -> tuple[paths.Part, ...] | None:
-        """Finds a path within one data centre, the own one if it can be.
+        """Finds a path within one data centre, the local one if possible.
 
-        It leaves the pipes between them alone, wherever its caller is.
+        Such a path does not load the links between data centres.
 
         Args:
-            others: Other data centres, in a random order.
-            longest_s: Longest pass of one engine on its part.
+            others: Other data centres, in random order.
+            max_pass_s: Longest pass of one engine on its part.
         """
-        found = self._find([self.home], longest_s)
+        found = self._find([self.home], max_pass_s)
         if found is not None:
             return found
-        # The faster one of two that have room: what hosts know of each
-        # other's requests is a quarter of a second old, and were each to take
-        # the fastest of all, those of a data centre would meet at its engines.
-        ways: list[tuple[float, tuple[paths.Part, ...]]] = []
-        for place in others:
-            parts = self._find([place], longest_s)
+        # The faster one of two random data centres with a path. Hosts know each
+        # other's requests with a delay of a quarter of a second; if each took
+        # the fastest of all, the hosts of a data centre would overload it.
+        found_paths: list[tuple[float, tuple[paths.Part, ...]]] = []
+        for data_centre in others:
+            parts = self._find([data_centre], max_pass_s)
             if parts is None:
                 continue
-            step_s = paths.compute_path_s(parts, self.offers.get(place))
-            ways.append((step_s, parts))
-            if len(ways) == DRAWN:
+            step_s = paths.compute_path_s(
+                parts, self.candidates.get(data_centre)
+            )
+            found_paths.append((step_s, parts))
+            if len(found_paths) == COMPARED_DATA_CENTRES:
                 break
-        return min(ways, key=lambda w: w[0])[1] if ways else None
+        return min(found_paths, key=lambda f: f[0])[1] if found_paths else None
 
-    def join(self, others: Sequence[str]) -> tuple[paths.Part, ...] | None:
-        """Finds a path over several data centres.
+    def find_across(
+        self, others: Sequence[str]
+    ) -> tuple[paths.Part, ...] | None:
+        """Finds a path across several data centres.
 
-        Over those that are heard, else over any: where only the hosts are
-        down, the engines still serve.
+        Data centres that are cut off come last: if only their hosts are down,
+        their engines still serve.
         """
-        heard = [p for p in self.offers.places if p in (self.home, *others)]
-        found = self._find(heard, math.inf) if len(heard) > 1 else None
-        if found is not None or len(heard) == len(self.offers.places):
+        reachable = [
+            p for p in self.candidates.data_centres if p in (self.home, *others)
+        ]
+        found = self._find(reachable, math.inf) if len(reachable) > 1 else None
+        if found is not None or len(reachable) == len(
+            self.candidates.data_centres
+        ):
             return found
-        return self._find(self.offers.places, math.inf)
+        return self._find(self.candidates.data_centres, math.inf)
 
-    def has_slow(self, others: Sequence[str], longest_s: float) -> bool:
+    def has_slow_engine(self, others: Sequence[str], max_pass_s: float) -> bool:
         """Tells whether an engine is too slow for all of its layers."""
         return any(
-            (c.last - c.first) * c.pass_s > longest_s
-            for c in self.offers.list_of((self.home, *others))
+            (c.last - c.first) * c.pass_s > max_pass_s
+            for c in self.candidates.list_in((self.home, *others))
         )
 
     def _find(
-        self, places: Sequence[str], longest_s: float
+        self, data_centres: Sequence[str], max_pass_s: float
     ) -> tuple[paths.Part, ...] | None:
         return paths.find_path(
-            self.offers.list_of(places),
+            self.candidates.list_in(data_centres),
             self.spec.layers,
             self.job.tokens,
             self.home,
-            longest_pass_s=longest_s,
+            max_pass_s=max_pass_s,
         )
 
 
-def compute_longest_pass(route: config.Route) -> float:
-    """Returns how long an engine's pass may take on a prompt path, in s."""
-    return PASS_PART * route.gap_s if route.gap_s else math.inf
+def compute_max_pass_s(route: config.Route) -> float:
+    """Returns the longest pass on an engine that keeps answers on time."""
+    return MAX_PASS_FRACTION * route.gap_s if route.gap_s else math.inf
 
 
-def compute_shortest_bound(cfg: config.Configuration, service: str) -> float:
-    """Returns the longest pass that is prompt on every route to a service."""
+def compute_min_pass_limit_s(cfg: config.Configuration, service: str) -> float:
+    """Returns the longest pass that is on time on all routes to a service."""
     return min(
         (
-            compute_longest_pass(r)
+            compute_max_pass_s(r)
             for r in cfg.routes
             if any(t.service == service for t in r.targets)
         ),
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -318,14 +318,14 @@
         state = self._broker.fleet
         return Due(
             tuple(state.take_probes(now_s)),
-            state.take_new_suspects(now_s),
+            state.check_new_suspects(now_s),
             tuple(self._broker.take_unsaved()),
         )
 
     @handle.register
     def _(self, message: Probed) -> None:
         now_s = time.monotonic()
-        self._broker.fleet.note_report(
+        self._broker.fleet.apply_report(
             message.upstream_id, message.report, now_s
         )
         self._questions.run(self._broker.refresh(now_s))
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -34,16 +34,16 @@
 # if no others can serve. Its speaker's updates arrive four times a second
 # through the local speaker. If either speaker dies, another one takes over
 # within 1.5 s, so a data centre may wrongly count as cut off for some 0.4 s.
-CUT_OFF_S: Final = 1.3
+CUT_OFF_AFTER_S: Final = 1.3
 
 # Weight of a new sample in a plain replica's smoothed response time.
-TIME_WEIGHT: Final = 0.2
+RESPONSE_TIME_WEIGHT: Final = 0.2
 
 # Factor on the expected wait of a replica in a data centre that is cut off.
-CUT_OFF_COST: Final = 20.0
+CUT_OFF_SLOWDOWN: Final = 20.0
 
 # Response time assumed for a plain replica before the first sample.
-FIRST_TIME_S: Final = 0.05
+INITIAL_RESPONSE_TIME_S: Final = 0.05
 
 
 @attrs.frozen
@@ -118,10 +118,10 @@
         self._is_counting_excess = is_counting_excess
         self.roster = upstreams.Roster()
         self.memory = memory.Memory(data_centre)
-        self.health = health.Health(self._note)
+        self.health = health.Health(self._log_state)
         self.paces = paces.Paces()
         # Smoothed response times of plain replicas.
-        self.times: dict[str, float] = {}
+        self.response_times_s: dict[str, float] = {}
         self.moves = moves.Moves(self.roster)
         # Upstreams by service and data centre, cached until the list changes:
         # each path search needs them.
@@ -130,11 +130,15 @@
         # Suspects at the last call of `take_new_suspects`.
         self._suspects: set[str] = set()
         # Peer updates and probe results applied; each may reveal free memory.
-        self._learned = 0
+        self._update_count = 0
         # State changes of upstreams that are not yet logged.
-        self.notes: list[decisions.Decision] = []
+        self.log_events: list[decisions.Decision] = []
         self.backpressure = backpressure.Backpressure(
-            data_centre, self.roster, self.health, self.throttle, self.notes
+            data_centre,
+            self.roster,
+            self.health,
+            self.throttle,
+            self.log_events,
         )
 
     def is_usable(self, entry: upstreams.Upstream, now_s: float) -> bool:
@@ -161,7 +165,7 @@
 
         It stays the same while only time passes or less memory is free.
         """
-        return self._learned + self.get_own_revision()
+        return self._update_count + self.get_own_revision()
 
     def get_own_revision(self) -> int:
         """Returns a number that changes when this host may see free capacity.
@@ -177,7 +181,7 @@
 
     def apply_peer_update(self, update: PeerUpdate, now_s: float) -> None:
         """Merges another host's peer update."""
-        self._learned += 1
+        self._update_count += 1
         self.memory.hear(
             update.host, update.data_centre, update.usage, update.excess, now_s
         )
@@ -209,11 +213,11 @@
             ):
                 self.health.hear_suspect(upstream_id, now_s)
 
-    def is_asking(self) -> bool:
+    def has_pending_probes(self) -> bool:
         """Tells whether a new failure or slowdown awaits a probe."""
         return self.health.is_asking() or self.paces.is_asking()
 
-    def take_new_suspects(self, now_s: float) -> bool:
+    def check_new_suspects(self, now_s: float) -> bool:
         """Tells whether there are new suspects since the last call."""
         before, self._suspects = (
             self._suspects,
@@ -247,21 +251,26 @@
             known = last.get(peer.data_centre, 0.0)
             last[peer.data_centre] = max(known, peer.heard_s)
         return {
-            place
-            for place, heard_s in last.items()
-            if place != self.data_centre and now_s - heard_s > CUT_OFF_S
+            data_centre
+            for data_centre, received_s in last.items()
+            if data_centre != self.data_centre
+            and now_s - received_s > CUT_OFF_AFTER_S
         }
 
-    def _note(self, upstream_id: str, state: str, reason: str) -> None:
-        self.notes.append(decisions.UpstreamChanged(upstream_id, state, reason))
+    def _log_state(self, upstream_id: str, state: str, reason: str) -> None:
+        self.log_events.append(
+            decisions.UpstreamChanged(upstream_id, state, reason)
+        )
 
-    def note_time(self, upstream_id: str, seconds: float) -> None:
+    def record_response_time(self, upstream_id: str, seconds: float) -> None:
         """Adds a response time of a plain replica."""
-        old = self.times.get(upstream_id, seconds)
-        self.times[upstream_id] = old + TIME_WEIGHT * (seconds - old)
+        old = self.response_times_s.get(upstream_id, seconds)
+        self.response_times_s[upstream_id] = old + RESPONSE_TIME_WEIGHT * (
+            seconds - old
+        )
 
     @contextlib.contextmanager
-    def noting_changes(self, now_s: float) -> Iterator[None]:
+    def recording_list_changes(self, now_s: float) -> Iterator[None]:
         """Records the list changes made within the block.
 
         They go to the log, and changed layers to the other hosts.
@@ -271,10 +280,10 @@
         unfit = dict(self.roster.unfit)
         changes = self.roster.changes
         yield
-        self._note_strange(unfit, unreadable)
+        self._log_rejected_entries(unfit, unreadable)
         if self.roster.changes == changes:
             return
-        self._note_listed(
+        self._log_new_entries(
             [e for i, e in self.roster.entries.items() if i not in before]
         )
         for upstream_id, entry in self.roster.entries.items():
@@ -282,35 +291,39 @@
             if old and entry.layers is not None and entry.layers != old.layers:
                 self.moves.note_listed(upstream_id, entry.layers, now_s)
             if entry.is_draining and not (old and old.is_draining):
-                self._note(upstream_id, "draining", "reported that it leaves")
+                self._log_state(
+                    upstream_id, "draining", "reported that it leaves"
+                )
         for upstream_id in set(before) - set(self.roster.entries):
             is_again = before[upstream_id].name in self.roster.by_name
-            self._note(
+            self._log_state(
                 upstream_id,
                 "gone",
                 "started again" if is_again else "no longer listed",
             )
 
-    def _note_listed(self, entries: Sequence[upstreams.Upstream]) -> None:
+    def _log_new_entries(self, entries: Sequence[upstreams.Upstream]) -> None:
         """Logs entries that are new on the list.
 
         Many new entries share one line: two hundred hosts that start before
         two hundred upstreams would otherwise write forty thousand lines.
         """
         if len(entries) > decisions.NAMED:
-            names = _name_some([e.id for e in entries])
-            self.notes.append(decisions.UpstreamsListed(len(entries), names))
+            names = _limit_ids([e.id for e in entries])
+            self.log_events.append(
+                decisions.UpstreamsListed(len(entries), names)
+            )
             return
         for entry in entries:
-            self._note(entry.id, "listed", entry.address)
+            self._log_state(entry.id, "listed", entry.address)
 
-    def _note_strange(
+    def _log_rejected_entries(
         self, unfit: Mapping[str, str], unreadable: set[str]
     ) -> None:
         """Logs entries that were newly rejected as invalid."""
         for name, field in self.roster.unfit.items():
             if unfit.get(name) != field:
-                self.notes.append(
+                self.log_events.append(
                     decisions.EntryLeftOut(
                         "upstreams",
                         name,
@@ -319,11 +332,11 @@
                     )
                 )
         for upstream_id in self.roster.unreadable - unreadable:
-            self._note(
+            self._log_state(
                 upstream_id, "unreadable", "its newest record can't be used"
             )
 
-    def note_report(
+    def apply_report(
         self,
         upstream_id: str,
         report: upstreams.EngineReport | None,
@@ -336,31 +349,31 @@
         """
         entry = self.roster.entries.get(upstream_id)
         if report is None or entry is None:
-            self.note_probe(upstream_id, report is not None, 1.0, now_s)
+            self.record_probe(upstream_id, report is not None, 1.0, now_s)
             return
         if not upstreams.is_other_start(entry, report):
-            self._note_memory(upstream_id, report, now_s)
-            self.note_probe(upstream_id, True, report.pace, now_s)
+            self._apply_memory_report(upstream_id, report, now_s)
+            self.record_probe(upstream_id, True, report.pace, now_s)
             return
-        with self.noting_changes(now_s):
+        with self.recording_list_changes(now_s):
             upstreams.note_restart(self.roster, upstream_id, report, now_s)
         # If the entry remains, the report was of an older incarnation and the
         # upstream is probed again.
         self.health.note_unanswered(upstream_id)
 
-    def note_probe(
+    def record_probe(
         self, upstream_id: str, is_ok: bool, pace: float, now_s: float
     ) -> None:
         """Records whether an upstream answered a probe, and its pace."""
-        self._learned += 1
+        self._update_count += 1
         if is_ok and self.paces.note(upstream_id, pace):
             is_slow = pace > paces.USUAL
-            self._note(
+            self._log_state(
                 upstream_id, "slow" if is_slow else "back", f"pace {pace}"
             )
         self.health.note_probe(upstream_id, is_ok, now_s)
 
-    def _note_memory(
+    def _apply_memory_report(
         self, upstream_id: str, report: upstreams.EngineReport, now_s: float
     ) -> None:
         """Applies the memory usage that an engine reports."""
@@ -372,7 +385,7 @@
         # Logged only when first exceeded: an engine that refuses work is probed
         # several times a second.
         if beyond > memory.EXCESS_NOTED * report.size > known:
-            self._note(
+            self._log_state(
                 upstream_id,
                 "fuller",
                 f"{report.used:.0f} in use of {report.size:.0f},"
@@ -412,11 +425,11 @@
             )
         return zlib.crc32("\n".join(sorted(rows)).encode())
 
-    def forget_gone(self) -> None:
+    def remove_unlisted(self) -> None:
         """Drops the state of upstreams that are no longer listed."""
         listed = self.roster.entries
         tables: tuple[dict[str, Any], ...] = (
-            self.times,
+            self.response_times_s,
             self.memory.excess,
         )
         for table in tables:
@@ -427,25 +440,25 @@
         self.health.forget(listed)
         self.backpressure.forget(listed)
 
-    def offer(
+    def list_candidates(
         self, service: str, spec: config.EngineSpec, now_s: float
-    ) -> cards.Cards:
+    ) -> cards.Candidates:
         """Returns the candidates for a path: usable engines with layers."""
-        places = self._group_by_place(service)
+        by_data_centre = self._group_by_data_centre(service)
         costs = _StepCosts.make(spec)
 
-        def read(place: str) -> list[paths.Card]:
+        def read(data_centre: str) -> list[paths.Candidate]:
             return [
-                card
-                for e in places[place]
+                candidate
+                for e in by_data_centre[data_centre]
                 if self.is_usable(e, now_s)
-                and (card := self._make_card(e, spec, costs, now_s))
-                and (card := self.backpressure.hold_back(card, now_s))
+                and (candidate := self._make_candidate(e, spec, costs, now_s))
+                and (candidate := self.backpressure.hold_back(candidate, now_s))
             ]
 
-        return cards.Cards(places, read)
+        return cards.Candidates(by_data_centre, read)
 
-    def _group_by_place(
+    def _group_by_data_centre(
         self, service: str
     ) -> Mapping[str, Sequence[upstreams.Upstream]]:
         """Returns a service's upstreams by data centre, sorted by its name."""
@@ -461,13 +474,13 @@
             self._grouped[service] = dict(sorted(groups.items()))
         return self._grouped[service]
 
-    def _make_card(
+    def _make_candidate(
         self,
         entry: upstreams.Upstream,
         spec: config.EngineSpec,
         costs: _StepCosts,
         now_s: float,
-    ) -> paths.Card | None:
+    ) -> paths.Candidate | None:
         """Returns an engine as a path candidate; None if it has no layers."""
         kind = spec.accelerators.get(entry.accelerator)
         if entry.layers is None or kind is None:
@@ -479,7 +492,7 @@
         read_s = slow * kind.read_factor * costs.chunk_s
         pass_s = spec.stride * (step_s * kind.pace * slow + read_s)
         pace = kind.pace * slow * self.health.get_slowdown(entry.id, now_s)
-        return paths.Card(
+        return paths.Candidate(
             entry.id,
             entry.address,
             entry.data_centre,
@@ -494,7 +507,7 @@
         self,
         spec: config.EngineSpec,
         job: jobs.Job,
-        offers: Sequence[paths.Card],
+        candidates: Sequence[paths.Candidate],
         now_s: float,
     ) -> decisions.PathMissing:
         """Returns why no path was found for a request.
@@ -502,15 +515,15 @@
         Args:
             spec: Of the request's service.
             job: The request.
-            offers: Candidates of the last path search.
+            candidates: Candidates of the last path search.
             now_s: Monotonic time.
         """
-        held = [(c.first, c.last) for c in offers]
+        held = [(c.first, c.last) for c in candidates]
         entries = [
             e for e in self.roster.entries.values() if e.service == job.service
         ]
         full = [
-            c.id for c in offers if c.free < (c.last - c.first) * job.tokens
+            c.id for c in candidates if c.free < (c.last - c.first) * job.tokens
         ]
         paused = [
             e.id
@@ -531,22 +544,22 @@
             layers=" ".join(
                 f"{a}-{b}" for a, b in paths.find_gaps(held, spec.layers)
             ),
-            full=_name_some(full),
-            paused=_name_some(paused),
-            down=_name_some(down),
-            leaving=_name_some(leaving),
-            limited=_name_some(limited),
+            full=_limit_ids(full),
+            paused=_limit_ids(paused),
+            down=_limit_ids(down),
+            leaving=_limit_ids(leaving),
+            limited=_limit_ids(limited),
             cut_off=tuple(sorted(self.list_cut_off(now_s))),
         )
 
-    def list_late(
-        self, service: config.Service, longest_pass_s: float, now_s: float
+    def list_too_slow(
+        self, service: config.Service, max_pass_s: float, now_s: float
     ) -> set[str]:
         """Returns the slow engines that would make answers late.
 
         Args:
             service: Service of the engines.
-            longest_pass_s: Longest pass of one engine that keeps answers on
+            max_pass_s: Longest pass of one engine that keeps answers on
                 time.
             now_s: Monotonic time.
         """
@@ -555,9 +568,9 @@
             return set()
         return {
             c.id
-            for c in self.offer(service.name, spec, now_s).list_all()
+            for c in self.list_candidates(service.name, spec, now_s).list_all()
             if self.paces.get(c.id, now_s) > paces.USUAL
-            and (c.last - c.first) * c.pass_s > longest_pass_s
+            and (c.last - c.first) * c.pass_s > max_pass_s
         }
 
     def describe_path(
@@ -581,12 +594,12 @@
             entry = self.roster.entries.get(part.id)
             if entry is None:
                 continue
-            card = self._make_card(entry, spec, costs, now_s)
-            if card is None:
+            candidate = self._make_candidate(entry, spec, costs, now_s)
+            if candidate is None:
                 continue
-            step_s += (part.last - part.first) * card.layer_s
+            step_s += (part.last - part.first) * candidate.layer_s
             size = room.compute_size(spec, entry) * room.USABLE
-            free = min(free, card.free / size if size else 0.0)
+            free = min(free, candidate.free / size if size else 0.0)
         return step_s, free
 
     def choose_replica(
@@ -609,18 +622,20 @@
         cut_off = self.list_cut_off(now_s)
 
         def expect_s(entry: upstreams.Upstream) -> float:
-            time_s = self.times.get(entry.id, FIRST_TIME_S)
+            time_s = self.response_times_s.get(
+                entry.id, INITIAL_RESPONSE_TIME_S
+            )
             waiting = self.memory.get_usage(entry.id, now_s).count
             turns = 1 + waiting / max(1, entry.slots)
             near = 1.0 if entry.data_centre == self.data_centre else 1.2
             if entry.data_centre in cut_off:
-                near = CUT_OFF_COST
+                near = CUT_OFF_SLOWDOWN
             slowdown = self.health.get_slowdown(entry.id, now_s)
             return time_s * turns * near * slowdown
 
         return min(fresh, key=expect_s, default=None)
 
 
-def _name_some(ids: Sequence[str]) -> tuple[str, ...]:
+def _limit_ids(ids: Sequence[str]) -> tuple[str, ...]:
     """Returns the first ids, as many as a log line may name."""
     return tuple(sorted(ids)[: decisions.NAMED])
--- a/egretspur/routing/paths.py
+++ b/egretspur/routing/paths.py
@@ -1,17 +1,15 @@
-"""Choice of a path over engines that hold ranges of layers: pure.
-
-A path names, for each engine on it, the part of its range that is used; parts
-needn't end where ranges end. So engines whose ranges overlap can stand in for
-each other wherever they do, and a tight engine can be used for fewer layers
-than it holds.
-
-The cheapest path is found exactly. What an engine's part costs grows with its
-layers alone, so going over the layer boundaries once, and keeping for each
-engine where it was entered best, is enough: a search over 190 engines in five
-data centres takes 2 to 3 ms of a core where trying every part of every engine
-took 120 to 170 ms. The best way to a boundary is kept by the data centre in
-which it ends, since the cheapest one so far may be far from the layers that
-follow.
+"""Shortest-path search over engines that hold ranges of layers: pure.
+
+A path lists its engines, each with the part of its range that it runs. Parts
+may end within a range, so engines with overlapping ranges can replace each
+other, and an engine short of memory can run fewer layers than it holds.
+
+The search is exact. The cost of a part is linear in its layers, so one pass
+over the layer boundaries that keeps the best entry into each engine is enough:
+a search over 190 engines in five data centres takes 2 to 3 ms of a core, where
+trying every part of every engine took 120 to 170 ms. The best partial path to
+a boundary is kept for each data centre in which it may end, since the cheapest
+one overall may end far from the engines with the next layers.
 """
 
 from __future__ import annotations
@@ -28,15 +26,15 @@
 # Engines that one path may name.
 MAX_PARTS: Final = 32
 
-# Ways naming an engine twice that one choice looks past. Of 3,000 random
-# layouts, a third of them nearly full, none had more than five; a request that
-# found more is answered as if there were no room.
+# Paths with a repeated engine that one search splits before it gives up and
+# finds no path. Of 3,000 random layouts, a third of them nearly full, none
+# needed more than five.
 MAX_SPLITS: Final = 24
 
 
 @attrs.frozen
-class Card:
-    """An engine as a choice of path sees it."""
+class Candidate:
+    """An engine that a path may use."""
 
     id: str
     address: str
@@ -44,11 +42,11 @@
     first: int
     # Exclusive.
     last: int
-    # Expected seconds of one step on one layer, under its present load.
+    # Expected seconds of one step per layer, under the present load.
     layer_s: float
-    # Request memory that is left, in tokens times layers.
+    # Free request memory, in tokens times layers.
     free: float
-    # Expected seconds of one pass on one layer while prompts are read.
+    # Expected seconds of one pass per layer while prompts are processed.
     pass_s: float = 0.0
 
 
@@ -64,74 +62,79 @@
 
 @attrs.frozen
 class Costs:
-    """What joining two engines costs, in seconds of one step."""
+    """Costs of joining two engines, in seconds of one partial."""
 
-    # Half a pass of waiting and the way between two engines.
+    # Half a pass of waiting plus the network hop.
     hop_s: float = 0.0015
-    # Added where two engines of a path stand in different data centres: the
-    # shared pipe carries every prompt token's activations.
+    # Added for a hop between data centres: the shared link carries the
+    # activations of every prompt token.
     cross_s: float = 0.010
-    # Added where the first engine stands in another data centre than the
-    # request came to. Only its text goes there, once, which costs nothing;
-    # but it takes room of those whose own data centre that is.
+    # Added if the first engine is in another data centre than the host that
+    # received the request. Sending the text there once is cheap, but the
+    # request takes memory that local requests of that data centre need.
     entry_s: float = 0.005
-    # Factor by which a full engine looks slower than an empty one.
-    fullness: float = 2.0
+    # Cost in hops of a request that takes all free memory of an engine.
+    fullness_weight: float = 2.0
 
 
 @attrs.define(eq=False)
-class _Step:
-    """The best way to a boundary, by its last engine."""
+class _PartialPath:
+    """The cheapest path to a boundary over a given last engine."""
 
     cost_s: float
-    card: Card
-    # Boundaries at which the last engine is entered and left.
+    candidate: Candidate
+    # First and, exclusive, last layer that the last engine runs.
     first: int
     last: int
-    # The way to the first of them.
-    before: _Step | None
+    # Path to `first`.
+    previous: _PartialPath | None
 
 
 @attrs.define(eq=False)
 class _Entry:
-    """A way into an engine."""
+    """A boundary at which a path enters an engine, and its cost."""
 
-    # Cost up to there, less what the layers up to there would cost on it: so
-    # two entries compare alike wherever the engine is left.
+    # Cost of the path to the boundary, minus the cost of all earlier layers on
+    # this engine. Entries thus compare the same at every later boundary.
     base_s: float
-    at: int
-    before: _Step | None
+    boundary: int
+    previous: _PartialPath | None
 
 
-_NEVER: Final = _Entry(math.inf, 0, None)
+_NO_ENTRY: Final = _Entry(math.inf, 0, None)
 
 
 @attrs.define(eq=False)
-class _Open:
-    """An engine while the search is within its layers."""
-
-    card: Card
-    # Seconds that one more layer on it costs a step.
-    slope_s: float
-    # Most layers that the request may take there.
-    reach: int
-    # The best entry of those from which a boundary is within reach.
-    best: _Entry = _NEVER
-    # All of its layers are within reach: an entry stays as good as it was.
-    is_whole: bool = True
-    # Else the entries that may become the best, by rising cost and boundary.
+class _OpenEngine:
+    """An engine that holds the layers at the current boundary."""
+
+    candidate: Candidate
+    # Seconds that each further layer on it adds to a step.
+    layer_cost_s: float
+    # Most layers that the engine may run for the request.
+    max_layers: int
+    # Cheapest entry within `max_layers` of the current boundary.
+    best_entry: _Entry = _NO_ENTRY
+    # The engine may run its whole range, so entries never go out of reach.
+    fits_whole: bool = True
+    # Otherwise the entries that may become the best, by rising cost and
+    # boundary.
     window: collections.deque[_Entry] = attrs.Factory(collections.deque)
 
-    def move(self, bound: int) -> None:
-        """Drops the entries from which a boundary is out of reach."""
-        while self.window and bound - self.window[0].at > self.reach:
+    def drop_out_of_reach(self, boundary: int) -> None:
+        """Drops the entries that are too many layers before a boundary."""
+        while (
+            self.window and boundary - self.window[0].boundary > self.max_layers
+        ):
             self.window.popleft()
-        self.best = self.window[0] if self.window else _NEVER
-
-    def enter(self, entry: _Entry) -> None:
-        """Takes one more entry."""
-        if self.is_whole:
-            self.best = min(self.best, entry, key=lambda e: e.base_s)
+        self.best_entry = self.window[0] if self.window else _NO_ENTRY
+
+    def add_entry(self, entry: _Entry) -> None:
+        """Adds an entry."""
+        if self.fits_whole:
+            self.best_entry = min(
+                self.best_entry, entry, key=lambda e: e.base_s
+            )
             return
         while self.window and self.window[-1].base_s >= entry.base_s:
             self.window.pop()
@@ -139,215 +142,259 @@
 
 
 def find_path(
-    cards: Sequence[Card],
+    candidates: Sequence[Candidate],
     layers: int,
     tokens: float,
     home: str,
     costs: Costs | None = None,
-    longest_pass_s: float = math.inf,
+    max_pass_s: float = math.inf,
 ) -> tuple[Part, ...] | None:
-    """Returns the cheapest path that has room for a request.
+    """Returns the cheapest path with enough memory for a request.
 
     Args:
-        cards: Usable engines.
+        candidates: Usable engines.
         layers: Layers of the model.
-        tokens: Request memory wanted on each layer, in tokens.
+        tokens: Request memory needed on each layer, in tokens.
         home: Data centre from which the request is sent.
-        costs: Of joining engines.
-        longest_pass_s: Longest pass of one engine on its part.
+        costs: Costs of joining engines.
+        max_pass_s: Longest pass of one engine on its part.
 
     Returns:
-        None if no engines with room cover all layers.
+        None if engines with enough memory do not cover all layers.
     """
-    search = _Search(layers, tokens, home, costs or Costs(), longest_pass_s)
-    # Ways that may name an engine twice, cheapest first. The cheapest that
-    # names none twice is the cheapest path.
-    turn = itertools.count()
-    ways: list[tuple[float, int, _Step, Sequence[Card]]] = []
-
-    def offer(choice: Sequence[Card]) -> None:
-        step = search.run(choice)
-        if step is not None:
-            heapq.heappush(ways, (step.cost_s, next(turn), step, choice))
-
-    offer(cards)
+    search = _Search(layers, tokens, home, costs or Costs(), max_pass_s)
+    # Paths that may repeat an engine, cheapest first. The cheapest one without
+    # a repeated engine is the result.
+    serial = itertools.count()
+    queue: list[tuple[float, int, _PartialPath, Sequence[Candidate]]] = []
+
+    def push(options: Sequence[Candidate]) -> None:
+        partial = search.run(options)
+        if partial is not None:
+            heapq.heappush(
+                queue, (partial.cost_s, next(serial), partial, options)
+            )
+
+    push(candidates)
     for _ in range(MAX_SPLITS):
-        if not ways:
+        if not queue:
             return None
-        _, _, step, choice = heapq.heappop(ways)
-        parts = _list_parts(step)
+        _, _, partial, options = heapq.heappop(queue)
+        parts = _list_parts(partial)
         repeated = _find_repeated(parts)
         if repeated is None:
             return parts if len(parts) <= MAX_PARTS else None
-        for narrower in _split(choice, *repeated):
-            offer(narrower)
+        for narrower in _split_repeated(options, *repeated):
+            push(narrower)
     return None
 
 
 @attrs.frozen
 class _Search:
-    """What one search is for."""
+    """Parameters of one search."""
 
     layers: int
     tokens: float
     home: str
     costs: Costs
-    longest_pass_s: float
-
-    def run(self, cards: Iterable[Card]) -> _Step | None:
-        """Returns the cheapest way over all layers."""
-        starting: dict[int, list[_Open]] = {}
-        bounds = {0, self.layers}
-        for opened in self._open_all(cards):
-            card = opened.card
-            starting.setdefault(card.first, []).append(opened)
-            bounds.add(card.first)
-            bounds.add(min(card.last, self.layers))
-        # Engines that hold the layers at the boundary, by data centre.
-        within: dict[str, list[_Open]] = {}
-        for bound in sorted(bounds):
-            steps: list[_Step] = []
-            for opens in within.values():
-                steps += _end(opens, bound)
-            if bound >= self.layers:
-                return min(steps, key=lambda s: s.cost_s, default=None)
-            if bound and not steps:
+    max_pass_s: float
+
+    def run(self, candidates: Iterable[Candidate]) -> _PartialPath | None:
+        """Returns the cheapest path over all layers; it may repeat engines."""
+        starting: dict[int, list[_OpenEngine]] = {}
+        boundaries = {0, self.layers}
+        for engine in self._open_candidates(candidates):
+            candidate = engine.candidate
+            starting.setdefault(candidate.first, []).append(engine)
+            boundaries.add(candidate.first)
+            boundaries.add(min(candidate.last, self.layers))
+        # Engines that hold the layers at the current boundary, by data centre.
+        within: dict[str, list[_OpenEngine]] = {}
+        for boundary in sorted(boundaries):
+            partials: list[_PartialPath] = []
+            for engines in within.values():
+                partials += _find_best_exits(engines, boundary)
+            if boundary >= self.layers:
+                return min(partials, key=lambda p: p.cost_s, default=None)
+            if boundary and not partials:
                 return None
-            for place, opens in within.items():
-                within[place] = [o for o in opens if o.card.last > bound]
-            for opened in starting.get(bound, ()):
-                within.setdefault(opened.card.data_centre, []).append(opened)
-            for place, opens in within.items():
-                if bound:
-                    self._enter(opens, bound, place, steps)
+            for data_centre, engines in within.items():
+                within[data_centre] = [
+                    e for e in engines if e.candidate.last > boundary
+                ]
+            for engine in starting.get(boundary, ()):
+                within.setdefault(engine.candidate.data_centre, []).append(
+                    engine
+                )
+            for data_centre, engines in within.items():
+                if boundary:
+                    self._enter_at_boundary(
+                        engines, boundary, data_centre, partials
+                    )
                 else:
-                    self._begin(opens, place)
+                    self._enter_at_start(engines, data_centre)
         return None
 
-    def _open_all(self, cards: Iterable[Card]) -> Iterator[_Open]:
+    def _open_candidates(
+        self, candidates: Iterable[Candidate]
+    ) -> Iterator[_OpenEngine]:
         """Yields the engines to search over.
 
-        Of those with one range, many in a planned layout, the cheapest that
-        has room for all of it makes the dearer ones needless.
+        Many engines of a planned layout hold the same range. Only the cheapest
+        one that can run all of it, and cheaper ones that can't, are needed.
         """
         cheapest: dict[tuple[str, int, int], float] = {}
         found = []
-        for card in cards:
-            opened = self._open(card)
-            if opened is None:
+        for candidate in candidates:
+            engine = self._open_candidate(candidate)
+            if engine is None:
                 continue
-            key = (card.data_centre, card.first, card.last)
-            found.append((key, opened))
-            if opened.is_whole:
+            key = (candidate.data_centre, candidate.first, candidate.last)
+            found.append((key, engine))
+            if engine.fits_whole:
                 known_s = cheapest.get(key, math.inf)
-                cheapest[key] = min(known_s, opened.slope_s)
-        for key, opened in found:
-            bound_s = cheapest.get(key, math.inf)
-            if opened.slope_s < bound_s:
-                yield opened
-            elif opened.slope_s == bound_s and opened.is_whole:
+                cheapest[key] = min(known_s, engine.layer_cost_s)
+        for key, engine in found:
+            cheapest_s = cheapest.get(key, math.inf)
+            if engine.layer_cost_s < cheapest_s:
+                yield engine
+            elif engine.layer_cost_s == cheapest_s and engine.fits_whole:
                 cheapest[key] = -math.inf
-                yield opened
+                yield engine
 
-    def _open(self, card: Card) -> _Open | None:
-        """Returns an engine to search over; None if it has no room at all."""
-        reach = count = card.last - card.first
-        slope_s = card.layer_s
+    def _open_candidate(self, candidate: Candidate) -> _OpenEngine | None:
+        """Returns an engine to search over; None if it can run no layer."""
+        max_layers = count = candidate.last - candidate.first
+        layer_cost_s = candidate.layer_s
         if self.tokens > 0:
-            if card.free < self.tokens:
+            if candidate.free < self.tokens:
                 return None
-            reach = min(reach, int(card.free / self.tokens))
-            fullness = self.costs.fullness * self.tokens / card.free
-            slope_s += self.costs.hop_s * fullness
-        if card.pass_s > 0 and self.longest_pass_s < math.inf:
-            reach = min(reach, int(self.longest_pass_s / card.pass_s))
-        if reach <= 0:
+            max_layers = min(max_layers, int(candidate.free / self.tokens))
+            fullness = self.costs.fullness_weight * self.tokens / candidate.free
+            layer_cost_s += self.costs.hop_s * fullness
+        if candidate.pass_s > 0 and self.max_pass_s < math.inf:
+            max_layers = min(
+                max_layers, int(self.max_pass_s / candidate.pass_s)
+            )
+        if max_layers <= 0:
             return None
-        return _Open(card, slope_s, reach, is_whole=reach >= count)
+        return _OpenEngine(
+            candidate, layer_cost_s, max_layers, fits_whole=max_layers >= count
+        )
 
-    def _begin(self, opens: Iterable[_Open], place: str) -> None:
-        """Enters the engines that hold the first layer."""
-        far_s = 0.0 if place == self.home else self.costs.entry_s
-        for opened in opens:
-            opened.enter(_Entry(far_s, 0, None))
+    def _enter_at_start(
+        self, engines: Iterable[_OpenEngine], data_centre: str
+    ) -> None:
+        """Adds the entries into engines that hold the first layer."""
+        far_s = 0.0 if data_centre == self.home else self.costs.entry_s
+        for engine in engines:
+            engine.add_entry(_Entry(far_s, 0, None))
 
-    def _enter(
+    def _enter_at_boundary(
         self,
-        opens: Iterable[_Open],
-        bound: int,
-        place: str,
-        steps: Sequence[_Step],
+        engines: Iterable[_OpenEngine],
+        boundary: int,
+        data_centre: str,
+        partials: Sequence[_PartialPath],
     ) -> None:
-        """Enters the engines of one place at a boundary; see `_end`."""
-        cost_s, before = self._join(steps, place, None)
-        if before is None:
+        """Adds the entries into a data centre's engines at a boundary.
+
+        Args:
+            engines: Engines of the data centre.
+            boundary: Layer at which they are entered.
+            data_centre: The data centre.
+            partials: Paths to the boundary; see `_find_best_exits`.
+        """
+        cost_s, previous = self._find_best_join(partials, data_centre, None)
+        if previous is None:
             return
-        for opened in opens:
-            if before.card is opened.card:
-                # Going on is no joining.
-                other_s, other = self._join(steps, place, opened.card)
-                base_s = other_s - bound * opened.slope_s
-                entry = _Entry(base_s, bound, other)
+        for engine in engines:
+            if previous.candidate is engine.candidate:
+                # An engine is not joined to itself.
+                other_s, other = self._find_best_join(
+                    partials, data_centre, engine.candidate
+                )
+                base_s = other_s - boundary * engine.layer_cost_s
+                entry = _Entry(base_s, boundary, other)
             else:
-                base_s = cost_s - bound * opened.slope_s
-                if base_s >= opened.best.base_s and opened.is_whole:
+                base_s = cost_s - boundary * engine.layer_cost_s
+                if base_s >= engine.best_entry.base_s and engine.fits_whole:
                     continue
-                entry = _Entry(base_s, bound, before)
-            opened.enter(entry)
+                entry = _Entry(base_s, boundary, previous)
+            engine.add_entry(entry)
 
-    def _join(
-        self, steps: Iterable[_Step], place: str, card: Card | None
-    ) -> tuple[float, _Step | None]:
-        """Returns the best way into a data centre, but not over one engine."""
+    def _find_best_join(
+        self,
+        partials: Iterable[_PartialPath],
+        data_centre: str,
+        candidate: Candidate | None,
+    ) -> tuple[float, _PartialPath | None]:
+        """Returns the cheapest join into a data centre.
+
+        Args:
+            partials: Paths to the boundary.
+            data_centre: The data centre.
+            candidate: Engine that the path must not end with.
+        """
         best = None
         best_s = math.inf
-        for step in steps:
-            if step.card is card:
+        for partial in partials:
+            if partial.candidate is candidate:
                 continue
-            cost_s = step.cost_s + self.costs.hop_s
-            if step.card.data_centre != place:
+            cost_s = partial.cost_s + self.costs.hop_s
+            if partial.candidate.data_centre != data_centre:
                 cost_s += self.costs.cross_s
             if cost_s < best_s:
-                best, best_s = step, cost_s
+                best, best_s = partial, cost_s
         return best_s, best
 
 
-def _end(opens: Iterable[_Open], bound: int) -> Iterator[_Step]:
-    """Yields the two best ways to a boundary over the engines of one place.
+def _find_best_exits(
+    engines: Iterable[_OpenEngine], boundary: int
+) -> Iterator[_PartialPath]:
+    """Yields the two cheapest paths to a boundary in one data centre.
 
-    Two, since the engine of the best one is not joined to itself. All engines
-    pass through here at each boundary, so it is one plain loop.
+    The second is needed for the last engine of the first, which is not joined
+    to itself. A single loop, as it visits all engines at each boundary.
     """
-    best: _Open | None = None
-    second: _Open | None = None
+    best: _OpenEngine | None = None
+    second: _OpenEngine | None = None
     best_s = second_s = math.inf
-    for opened in opens:
-        if not opened.is_whole:
-            opened.move(bound)
-        cost_s = opened.best.base_s + bound * opened.slope_s
+    for engine in engines:
+        if not engine.fits_whole:
+            engine.drop_out_of_reach(boundary)
+        cost_s = engine.best_entry.base_s + boundary * engine.layer_cost_s
         if cost_s < best_s:
             second, second_s = best, best_s
-            best, best_s = opened, cost_s
+            best, best_s = engine, cost_s
         elif cost_s < second_s:
-            second, second_s = opened, cost_s
+            second, second_s = engine, cost_s
     for found, cost_s in ((best, best_s), (second, second_s)):
         if found is not None:
-            entry = found.best
-            yield _Step(cost_s, found.card, entry.at, bound, entry.before)
-
-
-def _list_parts(step: _Step | None) -> tuple[Part, ...]:
-    """Returns the parts of a way, in the order of the layers."""
+            entry = found.best_entry
+            yield _PartialPath(
+                cost_s,
+                found.candidate,
+                entry.boundary,
+                boundary,
+                entry.previous,
+            )
+
+
+def _list_parts(partial: _PartialPath | None) -> tuple[Part, ...]:
+    """Returns the parts of a path in layer order."""
     parts: list[Part] = []
-    while step is not None:
-        card = step.card
-        parts.append(Part(card.id, card.address, step.first, step.last))
-        step = step.before
+    while partial is not None:
+        candidate = partial.candidate
+        parts.append(
+            Part(candidate.id, candidate.address, partial.first, partial.last)
+        )
+        partial = partial.previous
     return tuple(reversed(parts))
 
 
 def _find_repeated(parts: Sequence[Part]) -> tuple[Part, Part] | None:
-    """Returns the first two parts of one engine, if one has two."""
+    """Returns the first two parts that are on the same engine, if any."""
     seen: dict[str, Part] = {}
     for part in parts:
         if part.id in seen:
@@ -356,47 +403,49 @@
     return None
 
 
-def _split(
-    cards: Sequence[Card], former: Part, latter: Part
-) -> Iterator[list[Card]]:
-    """Yields choices of engines without a way that names one twice.
+def _split_repeated(
+    candidates: Sequence[Candidate], former: Part, latter: Part
+) -> Iterator[list[Candidate]]:
+    """Yields sets of candidates in which a repeated path is impossible.
 
-    Each path that names the engine once is in one of them: it leaves the
-    engine before the second part, or enters it after the first one, or runs
-    all layers between the two on it.
+    Every path that uses the engine once is possible in one of the sets: it
+    leaves the engine before the second part, enters it after the first part,
+    or runs all layers between the two parts on it.
     """
-    others = [c for c in cards if c.id != former.id]
-    for card in cards:
-        if card.id != former.id:
+    others = [c for c in candidates if c.id != former.id]
+    for candidate in candidates:
+        if candidate.id != former.id:
             continue
-        if card.first < latter.first:
-            last = min(card.last, latter.first)
-            yield [*others, attrs.evolve(card, last=last)]
-        if card.last > former.last:
-            first = max(card.first, former.last)
-            yield [*others, attrs.evolve(card, first=first)]
-        if card.first < former.last and card.last > latter.first:
+        if candidate.first < latter.first:
+            last = min(candidate.last, latter.first)
+            yield [*others, attrs.evolve(candidate, last=last)]
+        if candidate.last > former.last:
+            first = max(candidate.first, former.last)
+            yield [*others, attrs.evolve(candidate, first=first)]
+        if candidate.first < former.last and candidate.last > latter.first:
             outside = [
                 piece
                 for c in others
-                for piece in _leave_out(c, former.last, latter.first)
+                for piece in _exclude_layers(c, former.last, latter.first)
             ]
-            yield [*outside, card]
+            yield [*outside, candidate]
 
 
-def _leave_out(card: Card, first: int, last: int) -> Iterator[Card]:
-    """Yields what an engine offers outside of a range of layers."""
-    if card.last <= first or card.first >= last:
-        yield card
+def _exclude_layers(
+    candidate: Candidate, first: int, last: int
+) -> Iterator[Candidate]:
+    """Yields the parts of a candidate outside of a range of layers."""
+    if candidate.last <= first or candidate.first >= last:
+        yield candidate
         return
-    if card.first < first:
-        yield attrs.evolve(card, last=first)
-    if card.last > last:
-        yield attrs.evolve(card, first=last)
+    if candidate.first < first:
+        yield attrs.evolve(candidate, last=first)
+    if candidate.last > last:
+        yield attrs.evolve(candidate, first=last)
 
 
-def describe(parts: Iterable[Part]) -> str:
-    """Returns a path as log lines show it."""
+def format_path(parts: Iterable[Part]) -> str:
+    """Formats a path for log lines."""
     return " ".join(f"{p.id}:{p.first}-{p.last}" for p in parts)
 
 
@@ -415,7 +464,9 @@
     return gaps
 
 
-def compute_path_s(parts: Sequence[Part], cards: Iterable[Card]) -> float:
+def compute_path_s(
+    parts: Sequence[Part], candidates: Iterable[Candidate]
+) -> float:
     """Returns the expected seconds of one step over a path."""
-    speeds = {c.id: c.layer_s for c in cards}
+    speeds = {c.id: c.layer_s for c in candidates}
     return sum((p.last - p.first) * speeds.get(p.id, math.inf) for p in parts)
--- a/egretspur/routing/search.py
+++ b/egretspur/routing/search.py
@@ -24,11 +24,11 @@
 # several milliseconds each on a host with half a core. Changes by time alone,
 # such as the end of an engine's pause, are seen after this delay, which is
 # short against the 0.4 s that a request may wait.
-NO_ROOM_S: Final = 0.05
+NO_PATH_RETRY_DELAY_S: Final = 0.05
 
 
 @attrs.frozen
-class _NoRoom:
+class _FailedSearch:
     """A search that found no path with enough free memory."""
 
     tokens: float
@@ -43,29 +43,29 @@
     def __init__(
         self,
         state: fleet.Fleet,
-        using: mechanisms.Mechanisms,
+        enabled: mechanisms.Mechanisms,
         rng: random.Random,
     ) -> None:
         """Makes a search.
 
         Args:
             state: View of the upstreams.
-            using: Mechanisms that are switched on.
+            enabled: Mechanisms that are switched on.
             rng: Shuffles the data centres.
         """
         self._fleet = state
-        self._using = using
+        self._mechanisms = enabled
         self._rng = rng
         # Last failed search, by service.
-        self._no_room: dict[str, _NoRoom] = {}
+        self._failed_searches: dict[str, _FailedSearch] = {}
 
-    def offer(
+    def list_candidates(
         self, job: jobs.Job, spec: config.EngineSpec, now_s: float
-    ) -> cards.Cards:
+    ) -> cards.Candidates:
         """Returns the candidate engines for a request."""
-        return self._fleet.offer(job.service, spec, now_s)
+        return self._fleet.list_candidates(job.service, spec, now_s)
 
-    def find(
+    def find_path(
         self,
         job: jobs.Job,
         spec: config.EngineSpec,
@@ -86,21 +86,23 @@
             now_s: Monotonic time.
             refused: Engines that just refused the request; never used.
         """
-        if self._is_hopeless(job, now_s):
+        if self._has_just_failed(job, now_s):
             return None
-        offers = self.offer(job, spec, now_s).leave_out(refused)
-        parts = self.choose(job, spec, offers.leave_out(failed), now_s)
+        candidates = self.list_candidates(job, spec, now_s).exclude(refused)
+        parts = self.choose(job, spec, candidates.exclude(failed), now_s)
         if parts is None and failed:
-            parts = self.choose(job, spec, offers, now_s)
+            parts = self.choose(job, spec, candidates, now_s)
         if parts is None and not refused:
-            self._no_room[job.service] = _NoRoom(
-                job.tokens, now_s + NO_ROOM_S, self._fleet.get_revision()
+            self._failed_searches[job.service] = _FailedSearch(
+                job.tokens,
+                now_s + NO_PATH_RETRY_DELAY_S,
+                self._fleet.get_revision(),
             )
         return parts
 
-    def _is_hopeless(self, job: jobs.Job, now_s: float) -> bool:
+    def _has_just_failed(self, job: jobs.Job, now_s: float) -> bool:
         """Tells whether a request of at most this size just found no path."""
-        known = self._no_room.get(job.service)
+        known = self._failed_searches.get(job.service)
         return (
             known is not None
             and job.tokens >= known.tokens
@@ -112,28 +114,28 @@
         self,
         job: jobs.Job,
         spec: config.EngineSpec,
-        offers: cards.Cards,
+        candidates: cards.Candidates,
         now_s: float,
     ) -> tuple[paths.Part, ...] | None:
         """Finds a path; see `egretspur.routing.choice.choose`."""
         return choice.choose(
             job,
             spec,
-            offers,
+            candidates,
             self._fleet.list_cut_off(now_s),
             self._fleet.data_centre,
             self._rng,
-            self._using.prompt_first,
+            self._mechanisms.prompt_first,
         )
 
-    def explain(
+    def explain_missing(
         self, job: jobs.Job, spec: config.EngineSpec, now_s: float
     ) -> decisions.PathMissing:
         """Returns why no path was found for a request."""
-        offers = self.offer(job, spec, now_s).list_all()
-        return self._fleet.explain_missing(spec, job, offers, now_s)
+        candidates = self.list_candidates(job, spec, now_s).list_all()
+        return self._fleet.explain_missing(spec, job, candidates, now_s)
 
-    def find_detour(
+    def find_reroute(
         self,
         job: jobs.Job,
         spec: config.EngineSpec,
@@ -157,24 +159,26 @@
             may_resume: Whether the request may be ended and retried.
             now_s: Monotonic time.
         """
-        offers = self.offer(job, spec, now_s).leave_out(stalled)
+        candidates = self.list_candidates(job, spec, now_s).exclude(stalled)
         entries = self._fleet.roster.entries
         near = {entries[p.id].data_centre for p in parts if p.id in entries}
         keeps_first = parts[0].id not in stalled
-        bound_s = choice.compute_longest_pass(job.route)
+        max_pass_s = choice.compute_max_pass_s(job.route)
         found = None
         if keeps_first:
-            found = self._find_tail(job, spec, parts[0], offers, near, bound_s)
+            found = self._find_tail(
+                job, spec, parts[0], candidates, near, max_pass_s
+            )
         if (
             found is None
             and may_resume
-            and self.choose(job, spec, offers, now_s)
+            and self.choose(job, spec, candidates, now_s)
         ):
             return jobs.Detour(None, True)
-        for places in (near, offers.places):
+        for data_centres in (near, candidates.data_centres):
             if found is None and keeps_first:
                 found = self._find_tail(
-                    job, spec, parts[0], offers, places, math.inf
+                    job, spec, parts[0], candidates, data_centres, math.inf
                 )
         return jobs.Detour(found)
 
@@ -183,14 +187,14 @@
         job: jobs.Job,
         spec: config.EngineSpec,
         first: paths.Part,
-        offers: cards.Cards,
-        places: Container[str],
-        longest_s: float,
+        candidates: cards.Candidates,
+        data_centres: Container[str],
+        max_pass_s: float,
     ) -> tuple[paths.Part, ...] | None:
         """Finds a path in given data centres that keeps the first part."""
         home = self._fleet.data_centre
         # Stands for the first part, whose memory the request already holds.
-        kept = paths.Card(
+        kept = paths.Candidate(
             first.id,
             first.address,
             home,
@@ -199,7 +203,9 @@
             0.0,
             job.tokens * spec.layers,
         )
-        usable = offers.list_of(p for p in offers.places if p in places)
+        usable = candidates.list_in(
+            p for p in candidates.data_centres if p in data_centres
+        )
         tail = [
             attrs.evolve(c, first=max(c.first, first.last))
             for c in usable
@@ -210,5 +216,5 @@
             spec.layers,
             job.tokens,
             home,
-            longest_pass_s=longest_s,
+            max_pass_s=max_pass_s,
         )
--- a/tests/exact.py
+++ b/tests/exact.py
@@ -29,7 +29,7 @@
 
 
 def find_path(
-    cards: Sequence[paths.Card],
+    cards: Sequence[paths.Candidate],
     layers: int,
     tokens: float,
     home: str,
@@ -74,7 +74,7 @@
     best: dict[int, dict[str, _Best]],
     here: _Best,
     place: str,
-    card: paths.Card,
+    card: paths.Candidate,
     bounds: Sequence[int],
     request: _Wanted,
     costs: paths.Costs,
@@ -92,7 +92,7 @@
             return
         if (end - bound) * card.pass_s > request.longest_pass_s:
             return
-        fullness = costs.fullness * wanted / card.free if wanted else 0.0
+        fullness = costs.fullness_weight * wanted / card.free if wanted else 0.0
         cost = here.cost + joined + (end - bound) * card.layer_s
         cost += costs.hop_s * fullness
         there = best.setdefault(end, {})
@@ -102,7 +102,7 @@
             there[card.data_centre] = _Best(cost, (*here.parts, part))
 
 
-def _find_bounds(cards: Sequence[paths.Card], layers: int) -> list[int]:
+def _find_bounds(cards: Sequence[paths.Candidate], layers: int) -> list[int]:
     bounds = {0, layers}
     for card in cards:
         bounds.add(card.first)
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -248,7 +248,7 @@
     def _probe(self, host: peers.Host) -> None:
         for entry in host.state.fleet.take_probes(self.now_s):
             report = upstreams.PLAIN_REPORT if entry.id in self.live else None
-            host.state.fleet.note_report(entry.id, report, self.now_s)
+            host.state.fleet.apply_report(entry.id, report, self.now_s)
 
     def count_late(self) -> int:
         """Returns how often engines were reached after the bound began."""
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -177,7 +177,7 @@
         # Engines that failed are back at once; only the request counts here.
         take(context, context.broker.fail(failure, context.now_s))
         for name in list(context.broker.fleet.health.failed):
-            context.broker.fleet.note_probe(name, True, 1.0, context.now_s)
+            context.broker.fleet.record_probe(name, True, 1.0, context.now_s)
         context.broker.fleet.health.refusals.clear()
         if "r" in context.broker.tickets:
             context.broker.tickets["r"].failed.clear()
@@ -271,7 +271,7 @@
     for i in range(seconds * 10):
         context.now_s += 0.1
         for entry in state.take_probes(context.now_s):
-            state.note_probe(entry.id, False, 1.0, context.now_s)
+            state.record_probe(entry.id, False, 1.0, context.now_s)
         if context.dead_s is None and state.health.is_dead(
             "a100-0", context.now_s
         ):
@@ -287,7 +287,7 @@
 
 @when("a probe succeeds")
 def step_probe(context: Any) -> None:
-    context.broker.fleet.note_probe("a100-0", True, 1.0, context.now_s)
+    context.broker.fleet.record_probe("a100-0", True, 1.0, context.now_s)
 
 
 @then("requests are sent there again")
@@ -323,7 +323,7 @@
     state.paces.suspect(["a100-0"])
     due = [e.id for e in state.take_probes(context.now_s)]
     assert due == ["a100-0"], due
-    state.note_probe("a100-0", True, float(pace), context.now_s)
+    state.record_probe("a100-0", True, float(pace), context.now_s)
 
 
 @then("requests go over the twin")
@@ -341,7 +341,7 @@
 
 @when("it says that its pace is {pace:d}")
 def step_back_to_pace(context: Any, pace: int) -> None:
-    context.broker.fleet.note_probe("a100-0", True, pace, context.now_s)
+    context.broker.fleet.record_probe("a100-0", True, pace, context.now_s)
 
 
 @when("a request runs that has nowhere near by to go on")
@@ -617,10 +617,10 @@
     state = context.broker.fleet
     size = room.compute_size(fleets.SPEC, state.roster.entries["a100-1"])
     report = attrs.evolve(upstreams.PLAIN_REPORT, used=part * size, size=size)
-    state.note_report("a100-1", report, context.now_s)
+    state.apply_report("a100-1", report, context.now_s)
     told = state.memory.list_excess(context.now_s)
     news = fleet.PeerUpdate("10.0.0.2", "kl-hall", {}, {}, (), {}, told)
-    context.other.fleet.hear(news, context.now_s)
+    context.other.fleet.apply_peer_update(news, context.now_s)
 
 
 @when("an engine's report says that {part:g} of its memory is in use")
--- a/tests/steps/choice_steps.py
+++ b/tests/steps/choice_steps.py
@@ -103,7 +103,7 @@
 def check_place(context: Any, job: jobs.Job, place: str) -> None:
     """Checks in which data centre the path of a request is."""
     spec = fleets.SPEC
-    offers = context.state.fleet.offer("llm", spec, NOW_S)
+    offers = context.state.fleet.list_candidates("llm", spec, NOW_S)
     rng = random.Random(7)
     parts = choice.choose(job, spec, offers, set(), "kl-hall", rng)
     assert parts is not None
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -253,7 +253,7 @@
         return
     failure = jobs.Failure(job.id, jobs.Why.CUT, "reset")
     host.state.fail(failure, world.now_s)
-    host.state.fleet.note_report(start.upstream.id, None, world.now_s)
+    host.state.fleet.apply_report(start.upstream.id, None, world.now_s)
     host.state.tick(world.now_s)
 
 
--- a/tests/steps/entries_steps.py
+++ b/tests/steps/entries_steps.py
@@ -197,7 +197,7 @@
 def step_newer_report(context: Any) -> None:
     host = context.hosts[0]
     report = attrs.evolve(upstreams.PLAIN_REPORT, born_ms=AGAIN_MS)
-    host.broker.fleet.note_report(find(host, "e-1").id, report, context.now_s)
+    host.broker.fleet.apply_report(find(host, "e-1").id, report, context.now_s)
 
 
 @when("a probe of e-1 brings a report of its former start")
@@ -210,7 +210,7 @@
     )
     for host in context.hosts:
         mine = find(host, "e-1").id
-        host.broker.fleet.note_report(mine, report, context.now_s)
+        host.broker.fleet.apply_report(mine, report, context.now_s)
         assert host.broker.fleet.paces.get(mine, context.now_s) == 1.0
 
 
@@ -231,7 +231,7 @@
         {former: upstreams.AgedLayers(held, 0.0)},
     )
     for host in context.hosts:
-        host.broker.fleet.hear(news, context.now_s)
+        host.broker.fleet.apply_peer_update(news, context.now_s)
         host.broker.refresh(context.now_s)
 
 
--- a/tests/steps/histories_steps.py
+++ b/tests/steps/histories_steps.py
@@ -72,7 +72,7 @@
             oracle.take(oracle.state.tick(now_s))
             for entry in oracle.state.fleet.take_probes(now_s):
                 is_ok = rng.random() < 0.7
-                oracle.state.fleet.note_probe(entry.id, is_ok, 1.0, now_s)
+                oracle.state.fleet.record_probe(entry.id, is_ok, 1.0, now_s)
     finish_all(oracle, now_s)
 
 
--- a/tests/steps/paths_steps.py
+++ b/tests/steps/paths_steps.py
@@ -16,11 +16,11 @@
 HISTORIES = 400 if fuzz.IS_LONG else 60
 
 
-def make_card(text: str) -> paths.Card:
+def make_card(text: str) -> paths.Candidate:
     """Returns a card from ``name layers milliseconds room data-centre``."""
     name, layers, layer_ms, free, data_centre = text.split()
     first, last = layers.split("-")
-    return paths.Card(
+    return paths.Candidate(
         name,
         name,
         data_centre,
@@ -53,7 +53,7 @@
 
 
 def list_paths(
-    cards: list[paths.Card], layers: int, at: int, used: frozenset[str]
+    cards: list[paths.Candidate], layers: int, at: int, used: frozenset[str]
 ) -> list[tuple[paths.Part, ...]]:
     """Returns all paths from a boundary, by trying every one."""
     if at == layers:
@@ -84,7 +84,7 @@
     @hypothesis.given(st.lists(ranges, max_size=5))
     def check(items: list[tuple[int, int, int]]) -> None:
         cards = [
-            paths.Card(
+            paths.Candidate(
                 f"c{i}", f"c{i}", "kl-hall", a, min(a + n, layers), w / 1e3, 1e9
             )
             for i, (a, n, w) in enumerate(items)
@@ -110,7 +110,7 @@
 
 
 def compute_cost(
-    path: tuple[paths.Part, ...], cards: list[paths.Card]
+    path: tuple[paths.Part, ...], cards: list[paths.Candidate]
 ) -> float:
     """Returns what a path costs, all engines being empty."""
     hops = (len(path) - 1) * paths.Costs().hop_s
@@ -133,14 +133,14 @@
 
 def make_layout(
     rng: random.Random, engines: int, places: int, room: str
-) -> list[paths.Card]:
+) -> list[paths.Candidate]:
     """Returns engines that hold random layers of 80."""
     cards = []
     for i in range(engines):
         first = max(0, rng.randrange(-4, 76))
         last = min(80, first + rng.choice((6, 10, 18, 24)))
         cards.append(
-            paths.Card(
+            paths.Candidate(
                 f"c{i}",
                 f"c{i}",
                 PLACES[i % places],
@@ -155,7 +155,7 @@
 
 
 def compute_full_cost(
-    path: tuple[paths.Part, ...], cards: list[paths.Card], home: str
+    path: tuple[paths.Part, ...], cards: list[paths.Candidate], home: str
 ) -> float:
     """Returns what a path costs a request of `TOKENS`, as `Costs` tells it."""
     costs = paths.Costs()
@@ -167,7 +167,7 @@
         assert wanted <= card.free, (part, card)
         assert card.first <= part.first < part.last <= card.last
         total_s += (part.last - part.first) * card.layer_s
-        total_s += costs.hop_s * costs.fullness * wanted / card.free
+        total_s += costs.hop_s * costs.fullness_weight * wanted / card.free
         if part.first:
             total_s += costs.hop_s
         if card.data_centre != place:
--- a/tests/steps/search_steps.py
+++ b/tests/steps/search_steps.py
@@ -74,7 +74,7 @@
     for i in range(seconds * 100):
         now_s = NOW_S + 0.1 + 0.01 * i
         state.hear(news, now_s)
-        state.fleet.note_report("a100-0", upstreams.PLAIN_REPORT, now_s)
+        state.fleet.apply_report("a100-0", upstreams.PLAIN_REPORT, now_s)
         state.refresh(now_s)
 
 
@@ -140,7 +140,8 @@
     spec = fleets.SPEC
     search = context.state.search
     context.found = {
-        job.id: search.find(job, spec, set(), NOW_S) for job in (large, small)
+        job.id: search.find_path(job, spec, set(), NOW_S)
+        for job in (large, small)
     }
 
 
@@ -152,7 +153,7 @@
 
 @when("a request is sent")
 def step_send(context: Any) -> None:
-    offers = context.state.fleet.offer("llm", fleets.SPEC, NOW_S)
+    offers = context.state.fleet.list_candidates("llm", fleets.SPEC, NOW_S)
     context.read = []
     read = offers._read
 
@@ -197,7 +198,7 @@
     entries = context.state.fleet.roster.entries
     for i in range(count):
         job = fleets.make_job(f"r{i}", now_s=NOW_S)
-        parts = context.state.search.find(job, fleets.SPEC, set(), NOW_S)
+        parts = context.state.search.find_path(job, fleets.SPEC, set(), NOW_S)
         context.counts[entries[parts[0].id].data_centre] += 1
 
 
--- a/tests/steps/suspects_steps.py
+++ b/tests/steps/suspects_steps.py
@@ -63,7 +63,7 @@
     state = context.hosts[host].fleet
     due = [e.id for e in state.take_probes(context.now_s)]
     assert engine in due, due
-    state.note_probe(engine, is_ok, 1.0, context.now_s)
+    state.record_probe(engine, is_ok, 1.0, context.now_s)
 
 
 @when(
@@ -123,7 +123,7 @@
             for host, state in context.hosts.items():
                 is_same = PLACES[host] == PLACES[sender]
                 if host != sender and is_same == is_near:
-                    state.fleet.hear(news, context.now_s)
+                    state.fleet.apply_peer_update(news, context.now_s)
 
 
 def make_news(host: str, suspects: tuple[str, ...]) -> fleet.PeerUpdate:
@@ -137,7 +137,7 @@
     """Returns the engines of the path that a host finds near an engine."""
     state = context.hosts[host]
     place = engine.partition("-hall")[0][-2:] + "-hall"
-    offers = state.fleet.offer("llm", fleets.SPEC, context.now_s)
+    offers = state.fleet.list_candidates("llm", fleets.SPEC, context.now_s)
     found = paths.find_path(offers.get(place), 80, 900.0, place)
     return {p.id for p in found} if found else set()
 
