--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -502,7 +502,7 @@
             for other, peer in self._brokers.items():
                 if other != place:
                     own = dict(peer.fleet.memory.own)
-                    state.fleet.memory.note_peer(
+                    state.fleet.memory.set_peer_usage(
                         other, memory.PeerUsage(now_s, own, other)
                     )
         self._timeline.after(NEWS_S, self._exchange)
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -71,7 +71,7 @@
         usage=dict(own.memory.own),
         pace=own.paces.list_slow(),
         dead=own.health.list_dead(now_s),
-        layers=own.moves.list_told(
+        layers=own.layer_changes.list_published(
             math.inf if view.is_away else LAYERS_TOLD_S, now_s
         ),
         peers=peers,
@@ -90,7 +90,7 @@
     """Returns a host's news with what its whole data centre has."""
     return attrs.evolve(
         news,
-        usage=state.fleet.memory.sum_near(now_s),
+        usage=state.fleet.memory.sum_data_centre(now_s),
         suspects=state.fleet.list_suspects(now_s, True),
         spent=state.repeats.sum_spent(now_s),
         limits=state.throttle.list_told(now_s, is_speaker=True),
--- a/egretspur/daemons/pages.py
+++ b/egretspur/daemons/pages.py
@@ -210,7 +210,10 @@
         "health": {i: codec.encode(f) for i, f in fleet.health.failed.items()},
         "quarantine": state.quarantine.list_held(),
         "peers": {
-            h: {"heard_s": round(now_s - p.heard_s, 3), "count": len(p.usage)}
+            h: {
+                "heard_s": round(now_s - p.received_s, 3),
+                "count": len(p.usage),
+            }
             for h, p in sorted(fleet.memory.peers.items())
         },
     }
--- a/egretspur/routing/backpressure.py
+++ b/egretspur/routing/backpressure.py
@@ -1,7 +1,7 @@
-"""What upstreams ask of one host in their answers, and who may take work: pure.
+"""Backpressure that upstreams signal to one host in their answers: pure.
 
-Limits of requests a second, rest, and an upstream's own word that it leaves.
-Read next: `egretspur.admission.throttle`, `egretspur.routing.health`.
+Upstreams set rate limits, ask for backoffs and announce that they leave. Read
+next: `egretspur.admission.throttle`, `egretspur.routing.health`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Backpressure:
-    """See the module's docstring."""
+    """Limits, backoffs and announced departures of upstreams."""
 
     def __init__(
         self,
@@ -26,39 +26,39 @@
         roster: upstreams.Roster,
         state: health.Health,
         limits: throttle.Throttle,
-        notes: list[decisions.Decision],
+        log_events: list[decisions.Decision],
     ) -> None:
-        """Makes a state in which no upstream has asked for anything.
+        """Makes a state without limits, backoffs or departures.
 
         Args:
             data_centre: Of this host.
             roster: The listed upstreams.
-            state: Their health, with the backoffs that they asked for.
-            limits: This host's part of their limits.
-            notes: What changes, for the log.
+            state: Health of the upstreams, with their backoffs.
+            limits: This host's shares of their rate limits.
+            log_events: Receives changes of limits and states for the log.
         """
-        # Limits that were named anew, or lifted.
+        # Number of times that a limit was set, changed or lifted.
         self.changes = 0
         self._data_centre = data_centre
         self._roster = roster
         self._health = state
         self._throttle = limits
-        self._notes = notes
-        # Upstreams that said in an answer that they leave.
+        self._log_events = log_events
+        # Upstreams that announced in an answer that they leave.
         self._leaving: set[str] = set()
 
-    def hear(
+    def apply_peer_limits(
         self,
         host: str,
         data_centre: str,
         limits: Mapping[str, throttle.Told],
         now_s: float,
     ) -> None:
-        """Takes the limits that another host knows.
+        """Merges the limits in a peer update.
 
         Args:
-            host: Who told them.
-            data_centre: Of that host.
+            host: Sender of the update.
+            data_centre: Data centre of that host.
             limits: By upstream.
             now_s: Monotonic time.
         """
@@ -66,46 +66,44 @@
             if upstream_id in self._roster.entries and self._throttle.hear(
                 host, data_centre, upstream_id, told, now_s
             ):
-                self._note_limit(upstream_id, told.per_s, False)
+                self._log_limit(upstream_id, told.per_s, False)
 
-    def note_limit(
+    def record_limit(
         self, upstream_id: str, per_s: float | None, now_s: float
     ) -> None:
-        """Takes the limit that an upstream's answer named, or that none was."""
+        """Records the limit in an upstream's answer; None if it had none."""
         if self._throttle.note(upstream_id, per_s, now_s):
-            self._note_limit(upstream_id, per_s, True)
+            self._log_limit(upstream_id, per_s, True)
 
-    def note_backoff(
+    def record_backoff(
         self, upstream_id: str, backoff_s: float, now_s: float
     ) -> None:
-        """Takes that an upstream wants nothing from this host for a while."""
-        self._health.note_backoff(upstream_id, now_s + backoff_s)
-        self._note_changed(upstream_id, "backoff", f"asked for {backoff_s:g} s")
+        """Records a backoff that an upstream asked this host for."""
+        self._health.record_backoff(upstream_id, now_s + backoff_s)
+        self._log_state(upstream_id, "backoff", f"asked for {backoff_s:g} s")
 
-    def note_leaving(self, upstream_id: str) -> None:
-        """Takes an upstream's own word that it leaves."""
+    def record_leaving(self, upstream_id: str) -> None:
+        """Records that an upstream announced that it leaves."""
         if upstream_id not in self._leaving:
             self._leaving.add(upstream_id)
-            self._note_changed(
-                upstream_id, "draining", "says so in its answers"
-            )
+            self._log_state(upstream_id, "draining", "says so in its answers")
 
     def is_leaving(self, entry: upstreams.Upstream) -> bool:
         """Tells whether an upstream leaves, by its entry or its answers."""
         return entry.is_draining or entry.id in self._leaving
 
-    def is_free(self, upstream_id: str) -> bool:
-        """Tells whether an upstream has asked for nothing; from any thread."""
+    def is_unrestricted(self, upstream_id: str) -> bool:
+        """Tells whether an upstream has no limit or backoff; thread-safe."""
         return (
             upstream_id not in self._throttle.limited
             and upstream_id not in self._health.backoffs
         )
 
-    def may_ask(self, upstream_id: str, now_s: float) -> bool:
-        """Tells whether an upstream may be asked something; counts it.
+    def try_acquire_probe(self, upstream_id: str, now_s: float) -> bool:
+        """Takes a turn for a probe; returns whether there was one.
 
-        A question is a request as any other to one that takes only so many, or
-        nothing for now.
+        Probes count as requests against an upstream's limit, and its backoff
+        holds for them too.
         """
         is_backing_off = self._health.is_backing_off(upstream_id, now_s)
         if is_backing_off or not self._throttle.is_open(upstream_id, now_s):
@@ -113,76 +111,79 @@
         self._throttle.take(upstream_id, now_s)
         return True
 
-    def hold_back(
+    def apply_limit(
         self, card: paths.Candidate, now_s: float
     ) -> paths.Candidate | None:
-        """Returns what an engine offers within its limit.
+        """Removes the first layer from a candidate that is at its limit.
 
-        Requests are sent to a path's first engine. One at its limit may still
-        run its part of what comes to it from others.
+        Hosts send requests to a path's first engine only, so an engine at its
+        limit may still run later layers of a path.
+
+        Returns:
+            None if the candidate has no other layer.
         """
         if card.first or self._throttle.is_open(card.id, now_s):
             return card
         return attrs.evolve(card, first=1) if card.last > 1 else None
 
-    def note_wanted(self, service: str, now_s: float) -> None:
-        """Counts a request for the parts of limits that hosts have.
+    def record_demand(self, service: str, now_s: float) -> None:
+        """Counts a request as demand, by which hosts share limits.
 
-        It goes to an engine near by if it can; the others are wanted only
-        where those near by take no more.
+        It counts for engines of this data centre while one of them accepts
+        more requests, otherwise for all.
         """
         if not self._throttle.limited:
             return
-        takers = self._list_usable_takers(service, now_s)
+        entries = self._list_usable_entry_upstreams(service, now_s)
         near = [
             e
-            for e in takers
+            for e in entries
             if e.accelerator and e.data_centre == self._data_centre
         ]
         if any(self._throttle.is_open(e.id, now_s) for e in near):
-            takers = near
-        ids = {e.id for e in takers}
+            entries = near
+        ids = {e.id for e in entries}
         self._throttle.demand.note(ids & self._throttle.limited, now_s)
 
     def find_opening(
         self, service: str, now_s: float
     ) -> throttle.Opening | None:
-        """Returns when a service takes more, where limits alone hold it back.
+        """Returns when a service that only limits hold back accepts requests.
 
-        None where an upstream takes requests that are not held back by its
-        limit, or where there is none at all.
+        None if a usable upstream has no limit, or if none is usable.
         """
         if not self._throttle.limited:
             return None
-        takers = {e.id for e in self._list_usable_takers(service, now_s)}
-        if not takers <= self._throttle.limited:
+        ids = {e.id for e in self._list_usable_entry_upstreams(service, now_s)}
+        if not ids <= self._throttle.limited:
             return None
-        return self._throttle.find_opening(takers, now_s)
+        return self._throttle.find_opening(ids, now_s)
 
     def find_backoff_s(self, service: str, now_s: float) -> float | None:
-        """Returns how long all of a service's upstreams still rest.
+        """Returns the time until the first of a service's backoffs ends.
 
-        None if one of them does not.
+        None unless all upstreams that requests are sent to are backing off.
         """
         backoffs = self._health.backoffs
         if not backoffs:
             return None
         ends_s = [
-            backoffs.get(e.id, -math.inf) for e in self._list_takers(service)
+            backoffs.get(e.id, -math.inf)
+            for e in self._list_entry_upstreams(service)
         ]
         if not ends_s or min(ends_s) <= now_s:
             return None
         return min(ends_s) - now_s
 
-    def forget(self, listed: Container[str]) -> None:
-        """Drops what is known of upstreams that are no longer listed."""
+    def remove_unlisted(self, listed: Container[str]) -> None:
+        """Drops the state of upstreams that are no longer listed."""
         self._throttle.forget(listed)
         self._leaving = {i for i in self._leaving if i in listed}
 
-    def _list_takers(self, service: str) -> list[upstreams.Upstream]:
-        """Returns the listed upstreams that requests are sent to.
+    def _list_entry_upstreams(self, service: str) -> list[upstreams.Upstream]:
+        """Returns the listed upstreams that hosts send requests to.
 
-        Of engines those that hold the first layer.
+        Of engines, those that hold the first layer.
         """
         return [
             e
@@ -193,26 +194,26 @@
             and (not e.accelerator or (e.layers and e.layers.first == 0))
         ]
 
-    def _list_usable_takers(
+    def _list_usable_entry_upstreams(
         self, service: str, now_s: float
     ) -> list[upstreams.Upstream]:
-        """Returns those of them that may be given work."""
+        """Returns the entry upstreams that may get requests."""
         return [
             e
-            for e in self._list_takers(service)
+            for e in self._list_entry_upstreams(service)
             if e.id not in self._roster.unreadable
             and self._health.is_usable(e.id, now_s)
         ]
 
-    def _note_limit(
+    def _log_limit(
         self, upstream_id: str, per_s: float | None, is_own: bool
     ) -> None:
         self.changes += 1
-        self._notes.append(
+        self._log_events.append(
             decisions.UpstreamLimited(upstream_id, per_s, is_own)
         )
 
-    def _note_changed(self, upstream_id: str, state: str, reason: str) -> None:
-        self._notes.append(
+    def _log_state(self, upstream_id: str, state: str, reason: str) -> None:
+        self._log_events.append(
             decisions.UpstreamChanged(upstream_id, state, reason)
         )
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -105,7 +105,7 @@
         """Starts, queues or refuses a request."""
         self.counts.arrived += 1
         self.repeats.earn(job.service, now_s)
-        self.fleet.backpressure.note_wanted(job.service, now_s)
+        self.fleet.backpressure.record_demand(job.service, now_s)
         ticket = tickets.Ticket(job)
         self.tickets[job.id] = ticket
         return self._admit(ticket, now_s)
@@ -162,9 +162,9 @@
             return
         if ticket.parts:
             for part in ticket.parts:
-                self.fleet.health.note_success(part.id, now_s)
+                self.fleet.health.record_success(part.id, now_s)
             return
-        self.fleet.health.note_success(ticket.upstream_id, now_s)
+        self.fleet.health.record_success(ticket.upstream_id, now_s)
         self.fleet.record_response_time(
             ticket.upstream_id, now_s - ticket.started_s
         )
@@ -179,16 +179,20 @@
         if upstream_id not in self.fleet.roster.entries:
             return []
         if answer.is_leaving:
-            self.fleet.backpressure.note_leaving(upstream_id)
+            self.fleet.backpressure.record_leaving(upstream_id)
         if isinstance(answer.backoff_s, float):
             # Spread, so that hosts that were asked together come back one by
             # one.
             backoff_s = answer.backoff_s * (
                 1.0 + self._rng.uniform(0.0, BACKOFF_SPREAD)
             )
-            self.fleet.backpressure.note_backoff(upstream_id, backoff_s, now_s)
+            self.fleet.backpressure.record_backoff(
+                upstream_id, backoff_s, now_s
+            )
         if not isinstance(answer.per_s, signals.Unreadable):
-            self.fleet.backpressure.note_limit(upstream_id, answer.per_s, now_s)
+            self.fleet.backpressure.record_limit(
+                upstream_id, answer.per_s, now_s
+            )
         return self._start_waiting(now_s)
 
     def _note_unreadable(
@@ -630,7 +634,7 @@
         peers = sum(
             1
             for p in self.fleet.memory.peers.values()
-            if now_s - p.heard_s < memory.USAGE_KEPT_S
+            if now_s - p.received_s < memory.PEER_USAGE_TTL_S
         )
         spec = self._get_spec(ticket.job.service)
         step_s, free = 0.0, 1.0
@@ -680,13 +684,13 @@
             ticket.refused.update(dict.fromkeys(blamed, until_s))
         for upstream_id in blamed:
             if failure.why is jobs.Why.UNREACHABLE:
-                self.fleet.health.note_down(upstream_id, now_s)
+                self.fleet.health.mark_down(upstream_id, now_s)
             elif failure.why is jobs.Why.CUT:
-                self.fleet.health.note_fault(upstream_id, now_s)
+                self.fleet.health.record_fault(upstream_id, now_s)
             elif failure.blamed:
                 # It may also be dead; the probe tells.
-                self.fleet.health.note_refused(upstream_id, now_s)
-                self.fleet.health.note_fault(upstream_id, now_s)
+                self.fleet.health.record_refusal(upstream_id, now_s)
+                self.fleet.health.record_fault(upstream_id, now_s)
 
     def _check_repeat(
         self, ticket: tickets.Ticket, failure: jobs.Failure, now_s: float
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -287,20 +287,20 @@
 
     @handle.register
     def _(self, message: AskTurn) -> bool:
-        return self._broker.fleet.backpressure.may_ask(
+        return self._broker.fleet.backpressure.try_acquire_probe(
             message.upstream_id, time.monotonic()
         )
 
     @handle.register
     def _(self, message: NoteFailed) -> None:
-        self._broker.fleet.health.note_down(
+        self._broker.fleet.health.mark_down(
             message.upstream_id, time.monotonic()
         )
 
     @handle.register
     def _(self, message: Learn) -> None:
         now_s = time.monotonic()
-        self._broker.fleet.moves.note_reported(
+        self._broker.fleet.layer_changes.record_reported(
             message.upstream_id, message.layers, now_s
         )
         self._questions.run(self._broker.refresh(now_s))
@@ -411,7 +411,7 @@
 
     def may_ask(self, upstream_id: str) -> bool:
         """Tells whether an upstream may be asked something; counts it."""
-        if self._backpressure.is_free(upstream_id):
+        if self._backpressure.is_unrestricted(upstream_id):
             return True
         may_ask: bool = actors.ask(self._ref, AskTurn(upstream_id))
         return may_ask
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -122,7 +122,7 @@
         self.paces = paces.Paces()
         # Smoothed response times of plain replicas.
         self.response_times_s: dict[str, float] = {}
-        self.moves = moves.Moves(self.roster)
+        self.layer_changes = moves.LayerChanges(self.roster)
         # Upstreams by service and data centre, cached until the list changes:
         # each path search needs them.
         self._grouped: dict[str, dict[str, list[upstreams.Upstream]]] = {}
@@ -175,26 +175,26 @@
         """
         return (
             self.roster.changes
-            + self.memory.releases
+            + self.memory.release_count
             + self.backpressure.changes
         )
 
     def apply_peer_update(self, update: PeerUpdate, now_s: float) -> None:
         """Merges another host's peer update."""
         self._update_count += 1
-        self.memory.hear(
+        self.memory.apply_peer_update(
             update.host, update.data_centre, update.usage, update.excess, now_s
         )
-        self.paces.hear(update.pace, now_s)
+        self.paces.apply_peer_paces(update.pace, now_s)
         # Only hosts of this data centre reach upstreams the way this host does.
         if update.data_centre == self.data_centre:
             for upstream_id in update.dead:
                 if upstream_id in self.roster.entries:
-                    self.health.note_down(upstream_id, now_s)
+                    self.health.mark_down(upstream_id, now_s)
         self._apply_peer_suspects(update, now_s)
         for upstream_id, told in update.layers.items():
-            self.moves.hear(upstream_id, told, now_s)
-        self.backpressure.hear(
+            self.layer_changes.apply_peer_layers(upstream_id, told, now_s)
+        self.backpressure.apply_peer_limits(
             update.host, update.data_centre, update.limits, now_s
         )
 
@@ -211,11 +211,11 @@
                 self.data_centre,
                 entry.data_centre,
             ):
-                self.health.hear_suspect(upstream_id, now_s)
+                self.health.record_peer_suspicion(upstream_id, now_s)
 
     def has_pending_probes(self) -> bool:
         """Tells whether a new failure or slowdown awaits a probe."""
-        return self.health.is_asking() or self.paces.is_asking()
+        return self.health.has_pending_probes() or self.paces.has_suspects()
 
     def check_new_suspects(self, now_s: float) -> bool:
         """Tells whether there are new suspects since the last call."""
@@ -240,7 +240,9 @@
         entries = self.roster.entries
         return tuple(
             i
-            for i in dict.fromkeys((*found, *self.health.list_heard(now_s)))
+            for i in dict.fromkeys(
+                (*found, *self.health.list_peer_suspects(now_s))
+            )
             if i in entries and entries[i].data_centre == self.data_centre
         )
 
@@ -249,7 +251,7 @@
         last: dict[str, float] = {}
         for peer in self.memory.peers.values():
             known = last.get(peer.data_centre, 0.0)
-            last[peer.data_centre] = max(known, peer.heard_s)
+            last[peer.data_centre] = max(known, peer.received_s)
         return {
             data_centre
             for data_centre, received_s in last.items()
@@ -289,7 +291,9 @@
         for upstream_id, entry in self.roster.entries.items():
             old = before.get(upstream_id)
             if old and entry.layers is not None and entry.layers != old.layers:
-                self.moves.note_listed(upstream_id, entry.layers, now_s)
+                self.layer_changes.record_listed(
+                    upstream_id, entry.layers, now_s
+                )
             if entry.is_draining and not (old and old.is_draining):
                 self._log_state(
                     upstream_id, "draining", "reported that it leaves"
@@ -333,7 +337,7 @@
                 )
         for upstream_id in self.roster.unreadable - unreadable:
             self._log_state(
-                upstream_id, "unreadable", "its newest record can't be used"
+                upstream_id, "unreadable", "its newest record is invalid"
             )
 
     def apply_report(
@@ -359,19 +363,19 @@
             upstreams.note_restart(self.roster, upstream_id, report, now_s)
         # If the entry remains, the report was of an older incarnation and the
         # upstream is probed again.
-        self.health.note_unanswered(upstream_id)
+        self.health.record_inconclusive_probe(upstream_id)
 
     def record_probe(
         self, upstream_id: str, is_ok: bool, pace: float, now_s: float
     ) -> None:
         """Records whether an upstream answered a probe, and its pace."""
         self._update_count += 1
-        if is_ok and self.paces.note(upstream_id, pace):
-            is_slow = pace > paces.USUAL
+        if is_ok and self.paces.record_pace(upstream_id, pace):
+            is_slow = pace > paces.SLOW_THRESHOLD
             self._log_state(
                 upstream_id, "slow" if is_slow else "back", f"pace {pace}"
             )
-        self.health.note_probe(upstream_id, is_ok, now_s)
+        self.health.record_probe(upstream_id, is_ok, now_s)
 
     def _apply_memory_report(
         self, upstream_id: str, report: upstreams.EngineReport, now_s: float
@@ -381,10 +385,12 @@
             return
         counted = self.memory.get_usage(upstream_id, now_s).room
         known = self.memory.get_excess(upstream_id, now_s)
-        beyond = self.memory.note_used(upstream_id, report.used, now_s)
+        beyond = self.memory.record_reported_usage(
+            upstream_id, report.used, now_s
+        )
         # Logged only when first exceeded: an engine that refuses work is probed
         # several times a second.
-        if beyond > memory.EXCESS_NOTED * report.size > known:
+        if beyond > memory.EXCESS_LOG_FRACTION * report.size > known:
             self._log_state(
                 upstream_id,
                 "fuller",
@@ -399,10 +405,12 @@
             i for i in self.paces.take_due(now_s) if i not in self.health.failed
         ]
         due += self.health.take_due(listed, now_s)
-        late = [i for i in due if not self.backpressure.may_ask(i, now_s)]
+        late = [
+            i for i in due if not self.backpressure.try_acquire_probe(i, now_s)
+        ]
         for upstream_id in late:
-            self.health.note_unanswered(upstream_id)
-            self.paces.put_off(upstream_id)
+            self.health.record_inconclusive_probe(upstream_id)
+            self.paces.postpone_probe(upstream_id)
         due = [i for i in due if i not in late]
         return [listed[i] for i in due if i in listed]
 
@@ -435,10 +443,10 @@
         for table in tables:
             for upstream_id in set(table) - set(listed):
                 del table[upstream_id]
-        self.moves.forget(listed)
-        self.paces.forget(listed)
-        self.health.forget(listed)
-        self.backpressure.forget(listed)
+        self.layer_changes.remove_unlisted(listed)
+        self.paces.remove_unlisted(listed)
+        self.health.remove_unlisted(listed)
+        self.backpressure.remove_unlisted(listed)
 
     def list_candidates(
         self, service: str, spec: config.EngineSpec, now_s: float
@@ -453,7 +461,9 @@
                 for e in by_data_centre[data_centre]
                 if self.is_usable(e, now_s)
                 and (candidate := self._make_candidate(e, spec, costs, now_s))
-                and (candidate := self.backpressure.hold_back(candidate, now_s))
+                and (
+                    candidate := self.backpressure.apply_limit(candidate, now_s)
+                )
             ]
 
         return cards.Candidates(by_data_centre, read)
@@ -569,7 +579,7 @@
         return {
             c.id
             for c in self.list_candidates(service.name, spec, now_s).list_all()
-            if self.paces.get(c.id, now_s) > paces.USUAL
+            if self.paces.get(c.id, now_s) > paces.SLOW_THRESHOLD
             and (c.last - c.first) * c.pass_s > max_pass_s
         }
 
--- a/egretspur/routing/memory.py
+++ b/egretspur/routing/memory.py
@@ -1,8 +1,9 @@
-"""What the hosts have in flight at upstreams, and memory nobody counts: pure.
+"""Requests in flight and request memory in use at upstreams: pure.
 
-A host counts its own requests and what the others say of theirs. What engines
-hold beyond that, answers of hosts that were lost or answers longer than
-expected, only they know: a report that shows more counts for a while.
+A host sums up its own requests and those in peer updates. Only the engines
+know what they hold beyond that: requests of hosts that were lost, and answers
+longer than expected. An engine's report that shows such an excess counts for a
+while.
 """
 
 from __future__ import annotations
@@ -15,21 +16,21 @@
 
 from egretspur.routing import jobs
 
-# What another host said counts for so long. Hosts tell several times a
-# second; one that fell silent has lost its callers too.
-USAGE_KEPT_S: Final = 2.0
+# How long a peer update's usage counts. Hosts send several updates a second;
+# a host that stopped sending has lost its callers too.
+PEER_USAGE_TTL_S: Final = 2.0
 
-# Memory in use beyond what the hosts count is forgiven over so long: what
-# holds it, answers of hosts that were lost or longer than expected, ends within
-# the two to six seconds that an answer takes.
-EXCESS_S: Final = 3.0
+# Reported excess decays to zero over this time: the answers that cause it,
+# from lost hosts or longer than expected, end within the two to six seconds
+# that an answer takes.
+EXCESS_DECAY_S: Final = 3.0
 
-# Part of an engine's memory beyond which it is worth a line in the log.
-EXCESS_NOTED: Final = 0.1
+# Excess above this fraction of an engine's memory is logged.
+EXCESS_LOG_FRACTION: Final = 0.1
 
-# It is told to other hosts for so long: two datagrams, one of which may be
-# lost. Each host would find it out by a refusal of its own else.
-EXCESS_TOLD_S: Final = 0.6
+# How long an excess is sent to other hosts: two datagrams, one of which may be
+# lost. Otherwise each host would learn of it by a refused request of its own.
+EXCESS_PUBLISH_S: Final = 0.6
 
 
 @attrs.frozen
@@ -39,20 +40,20 @@
     # Tokens times layers.
     room: float
     at_s: float
-    # This host asked the engine itself; else another host told it.
+    # Reported to this host by the engine; otherwise from a peer update.
     is_own: bool
 
     def get(self, now_s: float) -> float:
-        """Returns what of it counts now."""
-        left = 1.0 - (now_s - self.at_s) / EXCESS_S
+        """Returns the excess that is left after decay."""
+        left = 1.0 - (now_s - self.at_s) / EXCESS_DECAY_S
         return self.room * max(0.0, left)
 
 
 @attrs.frozen
 class PeerUsage:
-    """What another host has in flight, by upstream."""
+    """Requests in flight of another host, by upstream."""
 
-    heard_s: float
+    received_s: float
     usage: Mapping[str, jobs.Usage]
     data_centre: str = ""
 
@@ -64,22 +65,22 @@
         """Makes an empty state for a host of a data centre."""
         self._data_centre = data_centre
         self.own: dict[str, jobs.Usage] = {}
-        # By host; see `note_peer`.
+        # By host.
         self.peers: dict[str, PeerUsage] = {}
         self.excess: dict[str, Excess] = {}
-        # Requests of this host that ended.
-        self.releases = 0
-        # What the peers have in flight in all, and until when that holds. A
-        # choice of path asks for every engine; summed up each time, that is
-        # half of its cost among sixty hosts.
-        self._sum: dict[str, jobs.Usage] = {}
-        self._sum_until_s = -math.inf
+        # Number of requests of this host that ended.
+        self.release_count = 0
+        # Usage of all peers together, and the time until which it is valid. A
+        # path search needs it for every engine; summed up each time, it takes
+        # half of the search's time among sixty hosts.
+        self._peer_totals: dict[str, jobs.Usage] = {}
+        self._peer_totals_until_s = -math.inf
 
     def add(self, upstream_id: str, count: int, used: float) -> None:
-        """Changes what this host has in flight at an upstream."""
+        """Changes this host's usage of an upstream."""
         old = self.own.get(upstream_id, jobs.Usage())
         if count < 0:
-            self.releases += 1
+            self.release_count += 1
         left = jobs.Usage(old.count + count, max(0.0, old.room + used))
         if left.count > 0:
             self.own[upstream_id] = left
@@ -87,40 +88,42 @@
             self.own.pop(upstream_id, None)
 
     def get_usage(self, upstream_id: str, now_s: float) -> jobs.Usage:
-        """Returns what all hosts have in flight at an upstream."""
-        if now_s >= self._sum_until_s:
-            fresh = self._list_fresh(now_s)
-            self._sum = _sum_usage(p.usage for p in fresh)
-            self._sum_until_s = USAGE_KEPT_S + min(
-                (p.heard_s for p in fresh), default=math.inf
+        """Returns the usage of an upstream by all hosts."""
+        if now_s >= self._peer_totals_until_s:
+            fresh = self._list_current_peers(now_s)
+            self._peer_totals = _sum_usage(p.usage for p in fresh)
+            self._peer_totals_until_s = PEER_USAGE_TTL_S + min(
+                (p.received_s for p in fresh), default=math.inf
             )
         own = self.own.get(upstream_id)
-        theirs = self._sum.get(upstream_id)
+        theirs = self._peer_totals.get(upstream_id)
         if own is None or theirs is None:
             return own or theirs or jobs.Usage()
         return jobs.Usage(own.count + theirs.count, own.room + theirs.room)
 
-    def sum_near(self, now_s: float) -> dict[str, jobs.Usage]:
-        """Returns what the hosts of this data centre have in flight."""
+    def sum_data_centre(self, now_s: float) -> dict[str, jobs.Usage]:
+        """Returns the usage by the hosts of this data centre."""
         near = [
             p.usage
-            for p in self._list_fresh(now_s)
+            for p in self._list_current_peers(now_s)
             if p.data_centre == self._data_centre
         ]
         return _sum_usage([self.own, *near])
 
-    def _list_fresh(self, now_s: float) -> list[PeerUsage]:
-        """Returns what was heard of late."""
+    def _list_current_peers(self, now_s: float) -> list[PeerUsage]:
+        """Returns the usage of peers that sent updates recently."""
         return [
-            p for p in self.peers.values() if now_s - p.heard_s < USAGE_KEPT_S
+            p
+            for p in self.peers.values()
+            if now_s - p.received_s < PEER_USAGE_TTL_S
         ]
 
-    def note_peer(self, host: str, usage: PeerUsage) -> None:
-        """Takes what another host has in flight."""
+    def set_peer_usage(self, host: str, usage: PeerUsage) -> None:
+        """Replaces the usage of another host."""
         self.peers[host] = usage
-        self._sum_until_s = -math.inf
+        self._peer_totals_until_s = -math.inf
 
-    def hear(
+    def apply_peer_update(
         self,
         host: str,
         data_centre: str,
@@ -128,41 +131,43 @@
         excess: Mapping[str, float],
         now_s: float,
     ) -> None:
-        """Takes what another host has in flight and found out.
+        """Applies the usage and excess in a peer update.
 
-        One host speaks for all of another data centre. Where the speaker
-        changes, what the former one said is of the same requests: counted
-        beside the newer word, they look twice as many until it is forgotten.
+        One speaker reports for all hosts of another data centre. When the
+        speaker changes, the former one's usage is dropped: it covers the same
+        requests, which would count twice until it expires.
         """
         if data_centre != self._data_centre:
             for other, peer in list(self.peers.items()):
                 if peer.data_centre == data_centre and other != host:
                     del self.peers[other]
-        self.note_peer(host, PeerUsage(now_s, usage, data_centre))
+        self.set_peer_usage(host, PeerUsage(now_s, usage, data_centre))
         for upstream_id, room in excess.items():
             self.excess[upstream_id] = Excess(room, now_s, False)
 
-    def note_used(self, upstream_id: str, used: float, now_s: float) -> float:
-        """Takes an engine's own word on its memory in use.
+    def record_reported_usage(
+        self, upstream_id: str, used: float, now_s: float
+    ) -> float:
+        """Records the memory in use that an engine reports.
 
         Returns:
-            What of it nobody counts, in tokens times layers.
+            The excess over what the hosts count, in tokens times layers.
         """
         beyond = max(0.0, used - self.get_usage(upstream_id, now_s).room)
         self.excess[upstream_id] = Excess(beyond, now_s, True)
         return beyond
 
     def get_excess(self, upstream_id: str, now_s: float) -> float:
-        """Returns the memory in use at an engine that nobody counts."""
+        """Returns an engine's memory in use that the hosts do not count."""
         excess = self.excess.get(upstream_id)
         return excess.get(now_s) if excess else 0.0
 
     def list_excess(self, now_s: float) -> dict[str, float]:
-        """Returns what of it was found out of late, for the other hosts."""
+        """Returns the recently reported excess, to send to other hosts."""
         return {
             i: round(e.room)
             for i, e in self.excess.items()
-            if e.is_own and e.room and now_s - e.at_s < EXCESS_TOLD_S
+            if e.is_own and e.room and now_s - e.at_s < EXCESS_PUBLISH_S
         }
 
 
--- a/egretspur/routing/moves.py
+++ b/egretspur/routing/moves.py
@@ -1,7 +1,8 @@
-"""Layers that engines took of late, as hosts tell each other: pure.
+"""Recent changes of engines' layers, sent in peer updates: pure.
 
-Only one host of a data centre reads the list as often as it changes, and the
-list itself lags by a heartbeat. Read next: `egretspur.routing.fleet`.
+Only one host of a data centre reads the upstream list at each change, and the
+list lags by a heartbeat; peer updates let the others use new layers sooner.
+Read next: `egretspur.routing.fleet`.
 """
 
 from __future__ import annotations
@@ -13,102 +14,105 @@
 
 from egretspur.catalog import upstreams
 
-# Layers that the list showed are told to other hosts for so long: some eight
-# datagrams.
-LISTED_TOLD_S: Final = 2.0
+# How long layers from the list are sent to other hosts: some eight datagrams.
+LISTED_PUBLISH_S: Final = 2.0
 
 
 @attrs.frozen
-class Moved:
-    """Layers that an engine took."""
+class LayerChange:
+    """New layers of an engine."""
 
     layers: upstreams.Layers
     at_s: float
-    # The engine told this host itself; else its list showed it.
+    # Reported to this host by the engine; otherwise read from the list.
     is_reported: bool
-    # What the list said of the engine then.
+    # Layers of the engine on the list at that time.
     listed: upstreams.Layers | None
 
 
-class Moves:
-    """What this host saw engines take."""
+class LayerChanges:
+    """Layer changes that this host learned from the list or from engines."""
 
     def __init__(self, roster: upstreams.Roster) -> None:
-        """Makes a state that has seen nothing.
+        """Makes an empty state.
 
         Args:
-            roster: The list as this host knows it; changed by this too.
+            roster: This host's upstream list; reported layers are written to
+                it.
         """
         self._roster = roster
-        self._moved: dict[str, Moved] = {}
+        self._changes: dict[str, LayerChange] = {}
 
-    def note_listed(
+    def record_listed(
         self, upstream_id: str, layers: upstreams.Layers, now_s: float
     ) -> None:
-        """Takes what the list shows anew."""
-        self._moved[upstream_id] = Moved(layers, now_s, False, layers)
+        """Records new layers on the list."""
+        self._changes[upstream_id] = LayerChange(layers, now_s, False, layers)
 
-    def note_reported(
+    def record_reported(
         self, upstream_id: str, layers: upstreams.Layers, now_s: float
     ) -> None:
-        """Takes what an engine reported to hold."""
+        """Records the layers that an engine reports."""
         listed = upstreams.get_listed(self._roster, upstream_id)
         upstreams.learn(self._roster, upstream_id, layers, now_s)
-        self._moved[upstream_id] = Moved(layers, now_s, True, listed)
+        self._changes[upstream_id] = LayerChange(layers, now_s, True, listed)
 
-    def hear(
-        self, upstream_id: str, told: upstreams.AgedLayers, now_s: float
+    def apply_peer_layers(
+        self, upstream_id: str, update: upstreams.AgedLayers, now_s: float
     ) -> None:
-        """Takes what another host saw, unless this one saw others later.
+        """Applies layers from a peer update unless this host has newer ones.
 
-        Two hosts may have ordered one engine in turn. Did both go on to tell
-        what they saw, all others would send requests to either by turns.
+        Two hosts may have given orders to one engine in turn. If both kept
+        sending what they saw, the others would switch between the two.
         """
-        own = self._moved.get(upstream_id)
-        if own is not None and own.layers != told.layers:
-            if own.at_s >= now_s - told.age_s:
+        own = self._changes.get(upstream_id)
+        if own is not None and own.layers != update.layers:
+            if own.at_s >= now_s - update.age_s:
                 return
-            del self._moved[upstream_id]
-        upstreams.learn(self._roster, upstream_id, told.layers, now_s)
+            del self._changes[upstream_id]
+        upstreams.learn(self._roster, upstream_id, update.layers, now_s)
 
-    def list_told(
-        self, kept_s: float, now_s: float
+    def list_published(
+        self, report_ttl_s: float, now_s: float
     ) -> dict[str, upstreams.AgedLayers]:
-        """Returns what other hosts are to be told; drops the rest.
+        """Returns the layers to send to other hosts; drops expired ones.
 
-        What an engine reported to this host is told until the list says
-        something new of it, and counts here as long: a host that starts
-        meanwhile is handed the list from before. What the list showed is told
-        for `LISTED_TOLD_S`, however long the store is away: others may have
-        given orders since.
+        Layers that an engine reported are sent, and used here, until the list
+        changes for the engine: a host that starts meanwhile gets the old list.
+        Layers from the list are sent for `LISTED_PUBLISH_S` even while the
+        store is unreachable: other hosts may have given orders since.
 
         Args:
-            kept_s: Longest time that a report is told.
+            report_ttl_s: Longest time for which a report is sent.
             now_s: Monotonic time.
         """
-        self._moved = {
+        self._changes = {
             i: m
-            for i, m in self._moved.items()
-            if self._is_told(i, m, kept_s, now_s)
+            for i, m in self._changes.items()
+            if self._is_published(i, m, report_ttl_s, now_s)
         }
-        for upstream_id, moved in self._moved.items():
-            if moved.is_reported:
-                upstreams.learn(self._roster, upstream_id, moved.layers, now_s)
+        for upstream_id, change in self._changes.items():
+            if change.is_reported:
+                upstreams.learn(self._roster, upstream_id, change.layers, now_s)
         return {
             i: upstreams.AgedLayers(m.layers, max(0.0, now_s - m.at_s))
-            for i, m in self._moved.items()
+            for i, m in self._changes.items()
         }
 
-    def forget(self, listed: Collection[str]) -> None:
-        """Drops what is known of upstreams that are no longer listed."""
-        self._moved = {i: m for i, m in self._moved.items() if i in listed}
+    def remove_unlisted(self, listed: Collection[str]) -> None:
+        """Drops the changes of upstreams that are no longer listed."""
+        self._changes = {i: m for i, m in self._changes.items() if i in listed}
 
-    def _is_told(
-        self, upstream_id: str, moved: Moved, kept_s: float, now_s: float
+    def _is_published(
+        self,
+        upstream_id: str,
+        change: LayerChange,
+        report_ttl_s: float,
+        now_s: float,
     ) -> bool:
-        """Tells whether other hosts still need to be told of layers."""
-        age_s = now_s - moved.at_s
-        if not moved.is_reported:
-            return age_s < LISTED_TOLD_S
+        """Tells whether a change is still sent to other hosts."""
+        age_s = now_s - change.at_s
+        if not change.is_reported:
+            return age_s < LISTED_PUBLISH_S
         listed = upstreams.get_listed(self._roster, upstream_id)
-        return age_s < kept_s and listed == moved.listed
+        return age_s < report_ttl_s and listed == change.listed
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -87,7 +87,7 @@
         part = fleets.parse_layers(layers)
         assert part is not None
         usage[name] = jobs.Usage(40, float(tokens * part.count))
-    context.broker.fleet.memory.note_peer(
+    context.broker.fleet.memory.set_peer_usage(
         "10.1.0.9", memory.PeerUsage(context.now_s, usage)
     )
 
@@ -298,7 +298,7 @@
 @when("the first engine refuses its part {times:d} times")
 def step_refuses(context: Any, times: int) -> None:
     for _ in range(times):
-        context.broker.fleet.health.note_refused("a100-0", context.now_s)
+        context.broker.fleet.health.record_refusal("a100-0", context.now_s)
         context.now_s += 1.0
     context.now_s -= 1.0
 
@@ -520,7 +520,7 @@
 
 @when('engine "{name}" dies')
 def step_dies(context: Any, name: str) -> None:
-    context.broker.fleet.health.note_down(name, context.now_s)
+    context.broker.fleet.health.mark_down(name, context.now_s)
 
 
 @then('the path of a request is in "{places}"')
@@ -534,7 +534,7 @@
 def hear(context: Any, place: str) -> None:
     """Hears a host of a data centre now."""
     state = context.broker.fleet.memory
-    state.note_peer(place, memory.PeerUsage(context.now_s, {}, place))
+    state.set_peer_usage(place, memory.PeerUsage(context.now_s, {}, place))
 
 
 @when("the hosts of both are heard")
@@ -574,8 +574,8 @@
     context.broker = fleets.make_broker(entries)
     state = context.broker.fleet
     state.memory.add("a100-0", 1, 1e9)
-    state.health.note_down("a100-1", 0.0)
-    state.health.note_refused("l40s-0", 0.0)
+    state.health.mark_down("a100-1", 0.0)
+    state.health.record_refusal("l40s-0", 0.0)
 
 
 @when("a request comes")
--- a/tests/steps/choice_steps.py
+++ b/tests/steps/choice_steps.py
@@ -53,7 +53,7 @@
 @when('"{engine}" of kl-hall turns {factor:d} times slower')
 def step_slow(context: Any, engine: str, factor: int) -> None:
     context.slow = name(engine, "kl-hall")
-    context.state.fleet.paces.note(context.slow, float(factor))
+    context.state.fleet.paces.record_pace(context.slow, float(factor))
 
 
 @when("the engines of the other data centres are full")
@@ -65,7 +65,7 @@
 
 @when("it is back at its pace")
 def step_back(context: Any) -> None:
-    context.state.fleet.paces.note(context.slow, 1.0)
+    context.state.fleet.paces.record_pace(context.slow, 1.0)
 
 
 @when('a request that runs in kl-hall has to leave "{engine}"')
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -190,7 +190,7 @@
     context.detours = []
     for _ in range(count):
         last = host.state.tickets[name].parts[-1].id
-        host.state.fleet.health.note_down(last, world.now_s)
+        host.state.fleet.health.mark_down(last, world.now_s)
         context.detours.append(
             host.state.repath(name, frozenset([last]), world.now_s)
         )
--- a/tests/steps/entries_steps.py
+++ b/tests/steps/entries_steps.py
@@ -185,12 +185,14 @@
     for host in context.hosts:
         state = host.broker.fleet
         mine = find(host, "e-1").id
-        state.health.note_down(mine, context.now_s)
-        state.health.note_refused(mine, context.now_s)
-        state.health.note_fault(mine, context.now_s)
-        state.paces.note(mine, 5.0)
+        state.health.mark_down(mine, context.now_s)
+        state.health.record_refusal(mine, context.now_s)
+        state.health.record_fault(mine, context.now_s)
+        state.paces.record_pace(mine, 5.0)
         state.memory.add(mine, 3, 900.0)
-        state.moves.note_reported(mine, upstreams.Layers(0, 31), context.now_s)
+        state.layer_changes.record_reported(
+            mine, upstreams.Layers(0, 31), context.now_s
+        )
 
 
 @when("a probe of e-1 brings a report of a newer start")
@@ -312,4 +314,6 @@
         assert state.memory.get_usage(entry.id, context.now_s) == jobs.Usage()
         assert entry.layers is None
         former = upstreams.make_start_id("e-1", listing.BORN_MS)
-        assert former not in state.moves.list_told(2.0, context.now_s)
+        assert former not in state.layer_changes.list_published(
+            2.0, context.now_s
+        )
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -54,30 +54,38 @@
 def step_reports(context: Any, layers: str) -> None:
     held = fleets.make_upstream(context.name, layers).layers
     assert held is not None
-    context.host.fleet.moves.note_reported(context.name, held, context.now_s)
+    context.host.fleet.layer_changes.record_reported(
+        context.name, held, context.now_s
+    )
 
 
 @when("it tells the other host")
 def step_tells(context: Any) -> None:
-    told = context.host.fleet.moves.list_told(2.0, context.now_s)
+    told = context.host.fleet.layer_changes.list_published(2.0, context.now_s)
     context.other.hear(make_news(told), context.now_s)
 
 
 @then('within 2 s it tells the others "{told}"')
 def step_told(context: Any, told: str) -> None:
-    found = context.host.fleet.moves.list_told(2.0, context.now_s + 1.9)
+    found = context.host.fleet.layer_changes.list_published(
+        2.0, context.now_s + 1.9
+    )
     assert describe(found) == told, found
 
 
 @then("2.1 s later it tells them nothing")
 def step_told_nothing(context: Any) -> None:
-    found = context.host.fleet.moves.list_told(2.0, context.now_s + 2.1)
+    found = context.host.fleet.layer_changes.list_published(
+        2.0, context.now_s + 2.1
+    )
     assert not found, found
 
 
 @then('30 s later, without the store, it tells the others "{told}"')
 def step_told_away(context: Any, told: str) -> None:
-    found = context.host.fleet.moves.list_told(math.inf, context.now_s + 30.0)
+    found = context.host.fleet.layer_changes.list_published(
+        math.inf, context.now_s + 30.0
+    )
     assert describe(found) == told, found
 
 
@@ -101,14 +109,18 @@
     context.now_s += seconds
     held = fleets.make_upstream(context.name, layers).layers
     assert held is not None
-    context.other.fleet.moves.note_reported(context.name, held, context.now_s)
+    context.other.fleet.layer_changes.record_reported(
+        context.name, held, context.now_s
+    )
 
 
 @when("{seconds:g} s later the two tell each other")
 def step_tell_each_other(context: Any, seconds: float) -> None:
     context.now_s += seconds
     told = {
-        host: host.fleet.moves.list_told(news.LAYERS_TOLD_S, context.now_s)
+        host: host.fleet.layer_changes.list_published(
+            news.LAYERS_TOLD_S, context.now_s
+        )
         for host in (context.host, context.other)
     }
     context.other.hear(make_news(told[context.host]), context.now_s)
@@ -121,8 +133,12 @@
         held = host.fleet.roster.entries[context.name].layers
         assert held == fleets.make_upstream(context.name, layers).layers, held
     tells = news.LAYERS_TOLD_S
-    assert not context.host.fleet.moves.list_told(tells, context.now_s)
-    found = context.other.fleet.moves.list_told(tells, context.now_s)
+    assert not context.host.fleet.layer_changes.list_published(
+        tells, context.now_s
+    )
+    found = context.other.fleet.layer_changes.list_published(
+        tells, context.now_s
+    )
     assert describe(found) == f"{context.name} {layers}", found
 
 
@@ -130,7 +146,7 @@
 def step_told_for(context: Any, seconds: float, told: str) -> None:
     end_s = context.now_s + seconds
     while context.now_s < end_s:
-        moved = context.host.fleet.moves.list_told(
+        moved = context.host.fleet.layer_changes.list_published(
             news.LAYERS_TOLD_S, context.now_s
         )
         assert describe(moved) == told, (context.now_s, moved)
--- a/tests/steps/search_steps.py
+++ b/tests/steps/search_steps.py
@@ -186,7 +186,7 @@
             )
             upstreams.put(roster, more, 0.0)
             # Twice as slow where one attempt in six failed of late.
-            context.state.fleet.health.note_fault(id_, NOW_S)
+            context.state.fleet.health.record_fault(id_, NOW_S)
 
 
 @when(
--- a/tests/steps/shared_steps.py
+++ b/tests/steps/shared_steps.py
@@ -222,7 +222,7 @@
 def hear(context: Any, host: str, count: int, now_s: float) -> None:
     """Hears of requests at one engine from a speaker of pg-hall."""
     usage = {"e-1": jobs.Usage(count, 900.0 * count)}
-    context.memory.hear(host, "pg-hall", usage, {}, now_s)
+    context.memory.apply_peer_update(host, "pg-hall", usage, {}, now_s)
 
 
 @then("it counts {count:d} requests there")
--- a/tests/steps/suspects_steps.py
+++ b/tests/steps/suspects_steps.py
@@ -81,7 +81,7 @@
 
 @when('a request of host {host} finds "{engine}" unreachable')
 def step_unreachable(context: Any, host: str, engine: str) -> None:
-    context.hosts[host].fleet.health.note_down(engine, context.now_s)
+    context.hosts[host].fleet.health.mark_down(engine, context.now_s)
 
 
 @when('"{engine}" answers the next probe of host {host}')
