--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -212,15 +212,17 @@
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.now_s += STEP_S
-            peers.do_due(self.due, self.now_s)
+            peers.run_due(self.due, self.now_s)
             self._answer()
             for host in list(self.hosts):
                 self.take(host, host.state.tick(self.now_s))
                 self._probe(host)
                 self._save(host)
-                if self.now_s >= host.next_news_s:
-                    host.next_news_s = self.now_s + NEWS_S
-                    peers.tell(host, self.hosts, self.is_heard, self.now_s)
+                if self.now_s >= host.next_update_s:
+                    host.next_update_s = self.now_s + NEWS_S
+                    peers.send_update(
+                        host, self.hosts, self.is_heard, self.now_s
+                    )
 
     def _save(self, host: peers.Host) -> None:
         for change in host.state.take_unsaved():
--- a/tests/routing/fleet.feature
+++ b/tests/routing/fleet.feature
@@ -1,13 +1,13 @@
-Feature: What a host knows of upstreams beyond their list
+Feature: A host's view of upstreams beyond the upstream list
 
-  Scenario Outline: Layers that an engine took are told to the other hosts
-    # Symptom: for five seconds of a calm day half the hosts found no path.
-    # Cause: the list showed an order done before its giver had asked the
-    # engine; the giver then told nobody, and only it read the list that often.
+  Scenario Outline: New layers of an engine are sent to the other hosts
+    # Guards against five seconds in which half the hosts find no path. The
+    # list showed a completed order before the duty holder had probed the
+    # engine; it then sent nothing, and only it reads the list that often.
     Given a host whose list has engine "a100-0" without layers
     When <source> that it holds "0-25"
-    Then within 2 s it tells the others "a100-0 0-25"
-    And 2.1 s later it tells them nothing
+    Then within 2 s it sends the others "a100-0 0-25"
+    And 2.1 s later it sends them nothing
 
     Examples:
       | source                       |
@@ -15,64 +15,64 @@
       | a change of its list shows   |
       | the engine reports           |
 
-  Scenario: A host that only hears of new layers has them in its paths
+  Scenario: A host uses new layers from a peer update
     Given a host whose list has engine "a100-0" without layers
     And another host with the same list
     When its list read whole shows that it holds "0-25"
-    And it tells the other host
+    And it sends its layers to the other host
     Then the other host has "a100-0" with "0-25"
 
-  Scenario: While the store is away layers are told until it is back
+  Scenario: Reported layers are sent for as long as the store is unreachable
     Given a host whose list has engine "a100-0" without layers
     When the engine reports that it holds "0-25"
-    Then 30 s later, without the store, it tells the others "a100-0 0-25"
+    Then 30 s later, without the store, it sends the others "a100-0 0-25"
 
-  Scenario: Layers are told until the store counts as away
-    # Symptom: a host that starts just after the store went away finds no path
-    # for some seconds. Sequence: an engine reports an order done, the store
-    # goes away before the list shows it, the new host is handed that list.
-    # Cause: reports were told for 2 s, and the store counts as away after 3.
+  Scenario: Reported layers are sent until the store counts as unreachable
+    # Guards against a host that starts during a store outage and finds no path
+    # for some seconds. An engine reports a completed order, and the store fails
+    # before the list shows it; the new host gets the old list. Reports were
+    # sent for 2 s, but the store counts as unreachable only after 3.
     Given a host whose list has engine "a100-0" without layers
     When the engine reports that it holds "0-25"
-    Then for 5.5 s it tells the others "a100-0 0-25" and has it itself
+    Then for 5.5 s it sends the others "a100-0 0-25" and uses it itself
 
-  Scenario: A report is told no more once the list says something new
+  Scenario: A report is no longer sent once the list changes
     Given a host whose list has engine "a100-0" without layers
     When the engine reports that it holds "0-25"
     And a change of its list shows that it holds "25-50"
-    Then within 2 s it tells the others "nothing"
+    Then within 2 s it sends the others "nothing"
 
-  Scenario: A host gives way to what an engine reported later to another one
-    # Symptom: two hosts tell different layers of one engine for seconds, and
-    # all others send requests to either by turns. Sequence: the duty passes on
-    # after an order, and its new holder gives another one.
+  Scenario: A later report to another host replaces an earlier one
+    # Guards against two hosts that send different layers of one engine for
+    # seconds, so that all others switch between them. After an order the duty
+    # passes to another host, which gives another order.
     Given a host whose list has engine "a100-0" without layers
     And another host with the same list
     When the engine reports that it holds "0-25"
     And 1 s later the engine reports to the other host "25-50"
-    And 0.2 s later the two tell each other
-    Then both have "25-50" and only the other host tells it
+    And 0.2 s later the two exchange peer updates
+    Then both have "25-50" and only the other host sends it
 
-  Scenario: What the list showed before the store went away is soon told no more
-    # Symptom: two hosts tell different layers of one engine in turn. Sequence:
-    # the list shows an order done, the store goes away, another host orders.
+  Scenario: Listed layers are sent only briefly while the store is unreachable
+    # Guards against two hosts that send different layers of one engine: the
+    # list shows a completed order, the store fails, another host gives orders.
     Given a host whose list has engine "a100-0" without layers
     When its list read whole shows that it holds "0-25"
-    Then 30 s later, without the store, it tells the others "nothing"
+    Then 30 s later, without the store, it sends the others "nothing"
 
-  Scenario: A host that hears of layers and reads the list rarely
-    # Symptom: four seconds into a calm day half the hosts find no path.
-    # Sequence: a host is told of layers, doesn't read the list, and the word
-    # of their engine ends; the list it has is from before.
+  Scenario: A host that gets layers from a peer update and rarely reads the list
+    # Guards against half the hosts finding no path four seconds after layers
+    # changed: a host got the layers by a peer update, which expired before the
+    # host read the list again, and its list still had the old layers.
     Given a host whose list has engine "a100-0" without layers
     And another host with the same list
     When its list read whole shows that it holds "0-25"
-    And it tells the other host
+    And it sends its layers to the other host
     Then the other host has "a100-0" with "0-25"
     And the other host's list counts as different until it is read anew
 
-  Scenario Outline: Upstreams that come onto the list at once
-    # Symptom: 195 hosts that start before 195 upstreams write 38,000 lines.
+  Scenario Outline: Many upstreams are listed at once
+    # Guards against 38,000 log lines when 195 hosts start before 195 upstreams.
     Given a host that knows no upstream
     When it reads a list of <count> upstreams
     Then it logs <lines> lines "<event>"
--- a/tests/routing/limits.py
+++ b/tests/routing/limits.py
@@ -230,13 +230,13 @@
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.now_s += STEP_S
-            peers.do_due(self.due, self.now_s)
+            peers.run_due(self.due, self.now_s)
             for host in self.hosts:
                 # As its ticker does.
                 if host.state.is_busy():
                     self._take(host, host.state.tick(self.now_s))
-                if self.now_s >= host.next_news_s:
-                    host.next_news_s = self.now_s + NEWS_S * self.rng.uniform(
+                if self.now_s >= host.next_update_s:
+                    host.next_update_s = self.now_s + NEWS_S * self.rng.uniform(
                         0.95, 1.05
                     )
                     self._tell(host)
@@ -253,7 +253,7 @@
         return count
 
     def _tell(self, host: Host) -> None:
-        heard = peers.tell(host, self.hosts, self._is_heard, self.now_s)
+        heard = peers.send_update(host, self.hosts, self._is_heard, self.now_s)
         for other in heard:
             other.state.note_hosts(len(self.hosts))
 
--- a/tests/routing/machine.py
+++ b/tests/routing/machine.py
@@ -153,7 +153,7 @@
         """A router hears that an upstream is leaving."""
         number = data.draw(st.integers(0, self._last_router()))
         mark = (name, str(self.world.incarnations[name]))
-        self.world.told_leaving[number].add(mark)
+        self.world.known_leaving[number].add(mark)
         self.world.update(number)
 
     @stateful.rule(name=MARK)
--- a/tests/routing/paths.feature
+++ b/tests/routing/paths.feature
@@ -1,11 +1,11 @@
-Feature: The choice of a path over ranges of layers
+Feature: Path search over ranges of layers
 
-  Scenario Outline: Ranges of which parts are used
-    Given cards "<cards>"
+  Scenario Outline: Paths that use parts of ranges
+    Given candidates "<cards>"
     When a path for <tokens> tokens is chosen from kl-hall
     Then it is "<path>"
 
-    Examples: name, layers, milliseconds a layer, room in tokens times layers
+    Examples: name, layers, milliseconds a layer, free memory in tokens times layers
       | cards                                                     | tokens | path            |
       | a 0-40 1 1e6 kl-hall, b 40-80 1 1e6 kl-hall               | 900    | a:0-40 b:40-80  |
       | a 0-50 1 1e6 kl-hall, b 30-80 2 1e6 kl-hall               | 900    | a:0-50 b:50-80  |
@@ -17,10 +17,10 @@
       | a 0-80 1 1e6 kl-hall, b 20-60 9 1e6 kl-hall               | 900    | a:0-80          |
 
   Scenario Outline: Ranges in several data centres
-    # Symptom: every answer of a data centre is late, and those of the others.
-    # Sequence: it loses some layers; paths begin there and end elsewhere, and
-    # the pipe that carries their prompts between the two is soon full.
-    Given cards "<cards>"
+    # Guards against late answers in several data centres. One of them loses
+    # some layers, paths begin there and end elsewhere, and the link that
+    # carries their prompts between the two is soon saturated.
+    Given candidates "<cards>"
     When a path for 900 tokens is chosen from kl-hall
     Then it is "<path>"
 
@@ -33,18 +33,17 @@
 
   @fuzz
   Scenario: Any ranges
-    # Symptom: a token skips a layer, or runs one twice.
+    # Guards against a token that skips a layer or runs one twice.
     When paths are chosen over random ranges
     Then each runs every layer once and in order, within what is held and free
     And none costs more than the best of all paths tried one by one
 
   @fuzz
   Scenario Outline: Any layout of a deployment
-    # Symptom: a path is refused or dear, though there is a better one that
-    # nobody thought of. Large layouts: the search that tries every path ends
-    # for a few engines only.
+    # Guards against no path or a costly one where a cheaper one exists. These
+    # layouts are too large for the search that tries every path.
     When paths are chosen over random layouts of <engines> engines in <places> data centres, <room>
-    Then each has room and costs no more than the path of the search by every part
+    Then each has room and costs no more than the path of an exhaustive search
 
     Examples:
       | engines | places | room      |
--- a/tests/routing/peers.py
+++ b/tests/routing/peers.py
@@ -1,4 +1,4 @@
-"""Hosts of the models without network, which tell each other by datagrams."""
+"""Simulated hosts that exchange peer updates as datagrams, without network."""
 
 from __future__ import annotations
 
@@ -10,40 +10,43 @@
 from egretspur.membership import datagrams
 from egretspur.routing import broker
 
-# Work that is due: when, and what is to be done.
+# Scheduled work: its time and the function to call.
 Due = list[tuple[float, Callable[[], None]]]
 
 
 @attrs.define(eq=False)
 class Host:
-    """A host's decisions."""
+    """A simulated host."""
 
     ip: str
     data_centre: str
     state: broker.Broker
-    next_news_s: float = 0.0
-    # Reads what the other hosts tell it.
+    next_update_s: float = 0.0
+    # Decodes the peer updates of the other hosts.
     decoder: datagrams.Decoder = attrs.Factory(datagrams.Decoder)
 
 
-def tell(
+def send_update(
     host: Host,
     hosts: Collection[Host],
-    is_heard: Callable[[Host, Host], bool],
+    is_delivered: Callable[[Host, Host], bool],
     now_s: float,
 ) -> list[Host]:
-    """Has a host tell the others, for its data centre if it is first.
+    """Sends a host's peer update to the other hosts.
+
+    The first host of a data centre is its speaker and also sends to the other
+    data centres.
 
     Args:
-        host: Who tells.
-        hosts: All of them.
-        is_heard: Whether a datagram from one to another arrives.
-        now_s: Time of the model.
+        host: The sender.
+        hosts: All hosts.
+        is_delivered: Whether a datagram from one host to another arrives.
+        now_s: Simulated time.
 
     Returns:
-        Those that heard it.
+        The hosts that received it.
     """
-    heard = []
+    receivers = []
     view = news.StoreView(1, 0.0, 0.0, False, 0)
     own = news.collect(host.state, host.ip, view, {}, now_s)
     near_data = datagrams.encode_news(own)
@@ -53,17 +56,17 @@
         is_near = other.data_centre == host.data_centre
         if other is host or not (is_near or host is near[0]):
             continue
-        if not is_heard(host, other):
+        if not is_delivered(host, other):
             continue
         found = other.decoder.decode(near_data if is_near else wide_data)
         assert not isinstance(found, datagrams.NotNews), found
         other.state.hear(news.read(found), now_s)
-        heard.append(other)
-    return heard
+        receivers.append(other)
+    return receivers
 
 
-def do_due(due: Due, now_s: float) -> None:
-    """Does what is due and drops it; what is done may make more due."""
+def run_due(due: Due, now_s: float) -> None:
+    """Runs and removes the work that is due; it may schedule more."""
     now = [d for d in due if d[0] <= now_s]
     due[:] = [d for d in due if d[0] > now_s]
     for _, work in now:
--- a/tests/routing/world.py
+++ b/tests/routing/world.py
@@ -1,7 +1,7 @@
-"""A pure world of routers and engines for the fuzzing.
+"""A simulation of routers and engines for fuzz tests: pure.
 
-Dispatchers and merges are the ones that serve; engines, connections and time
-are simulated here. The oracle is in `machine`.
+Dispatchers and merges are the product's own; engines, connections and time are
+simulated here. The oracle is in `machine`.
 """
 
 from __future__ import annotations
@@ -48,28 +48,28 @@
 
 @attrs.define
 class Attempt:
-    """An attempt as an engine's side sees it."""
+    """An attempt as the engines see it."""
 
     grant: messages.Grant
     number: int
     trail: str
-    # Where it began, and the position of its next event.
+    # Position of its first event and of its next event.
     first: int
     position: int
-    # Whether the engines took it, and whether they still work on it.
+    # Whether the engines accepted it, and whether they still run it.
     started: bool = True
     alive: bool = True
 
 
 @attrs.define
 class Request:
-    """A caller's request and all that happened to it."""
+    """A caller's request and its history."""
 
     id: str
     router: int
     merge: attempts.Merge
     current: Attempt | None = None
-    # All attempts ever started, for late events.
+    # All attempts started so far; late events may come from any.
     attempts: list[Attempt] = attrs.Factory(list)
     texts: list[str] = attrs.Factory(list)
     answers: int = 0
@@ -79,25 +79,25 @@
 
 @attrs.define
 class World:
-    """Several routers before the same engines."""
+    """Several routers in front of the same engines."""
 
     now: float = 100.0
     incarnations: dict[str, int] = attrs.Factory(
         lambda: dict.fromkeys(UPSTREAMS, 1)
     )
-    # Upstreams that each router was told are leaving, by incarnation.
-    told_leaving: list[set[tuple[str, str]]] = attrs.Factory(list)
+    # Upstreams that each router knows to be leaving, with incarnation.
+    known_leaving: list[set[tuple[str, str]]] = attrs.Factory(list)
     requests: dict[str, Request] = attrs.Factory(dict)
     routers: list[dispatch.Dispatcher] = attrs.Factory(list)
-    # Upstreams given to an attempt while known as leaving; must stay empty.
+    # Upstreams used for an attempt while known to be leaving; must stay empty.
     wrong_grants: list[str] = attrs.Factory(list)
     offset: int = 1
 
     def start(self, routers: int, limit: int) -> None:
-        """Makes the routers and gives them the table."""
+        """Makes the routers and sends them the routing table."""
         for number in range(routers):
             self.routers.append(self._make_router(number))
-            self.told_leaving.append(set())
+            self.known_leaving.append(set())
         self.limit = limit
         for number in range(routers):
             self.update(number)
@@ -115,7 +115,7 @@
         )
 
     def update(self, number: int) -> None:
-        """Gives a router the present table."""
+        """Sends a router the current routing table."""
         table = tables.RoutingTable(
             self.offset,
             (DEPLOYMENT,),
@@ -139,7 +139,7 @@
             ),
         )
         leaving: dict[str, tuple[str, ...]] = {}
-        for name, incarnation in sorted(self.told_leaving[number]):
+        for name, incarnation in sorted(self.known_leaving[number]):
             leaving[name] = (*leaving.get(name, ()), incarnation)
         demand = {
             f"r{i}": r.running.get("binding/w/m", 0)
@@ -158,14 +158,14 @@
         self.run(number, self.routers[number].update(update, self.now))
 
     def arrive(self, number: int, workspace: str) -> None:
-        """Lets a caller's request arrive."""
+        """Sends a caller's request to a router."""
         name = f"q{len(self.requests)}"
         self.requests[name] = Request(name, number, attempts.Merge(name))
         arrival = messages.Arrival(name, workspace, "m")
         self.run(number, self.routers[number].arrive(arrival, self.now))
 
     def run(self, number: int, effects: list[messages.Effect]) -> None:
-        """Runs effects as the actor and the relay would."""
+        """Carries out a router's effects as the actor and the relay do."""
         for effect in effects:
             request = self.requests[effect.id]
             if isinstance(effect, questions.Refuse):
@@ -180,7 +180,7 @@
     ) -> None:
         for edge in grant.path.edges:
             mark = (edge.upstream, str(self.incarnations[edge.upstream]))
-            if mark in self.told_leaving[number]:
+            if mark in self.known_leaving[number]:
                 self.wrong_grants.append(edge.upstream)
         hops = tuple(
             engine.Hop(e.upstream, e.upstream, e.first, e.last)
@@ -198,14 +198,14 @@
         request.attempts.append(request.current)
 
     def deliver(self, request: Request, event: engine.Event) -> None:
-        """Lets an event arrive on the request's present connection."""
+        """Delivers an event on the request's current connection."""
         if request.current is None:
             return
         decision = attempts.accept(request.merge, event)
         if isinstance(decision, attempts.Deliver):
             request.texts.append(decision.text)
-            # What counts must be this request's, of the attempt under way,
-            # and have run every layer once, in order.
+            # A delivered event must belong to this request and its current
+            # attempt, and have run every layer once, in order.
             assert isinstance(event, engine.TokenEvent)
             assert event.request == request.id
             assert event.attempt == request.current.number
@@ -221,7 +221,7 @@
     def break_attempt(
         self, request: Request, blamed: str, started: bool, busy: bool = False
     ) -> None:
-        """Ends the present attempt without the whole answer."""
+        """Ends the current attempt before its answer is complete."""
         if request.current is None:
             return
         request.current.started = started
@@ -239,7 +239,7 @@
         self.run(number, self.routers[number].fail(failure, self.now))
 
     def make_event(self, attempt: Attempt, request: Request) -> engine.Event:
-        """Returns the next event that the engines send for an attempt."""
+        """Returns the next event that engines send for an attempt."""
         if attempt.position == TOKENS:
             return engine.EndEvent(request.id, attempt.number, TOKENS, 0)
         event = engine.TokenEvent(
@@ -254,12 +254,12 @@
 
 
 def make_text(request_id: str, position: int) -> str:
-    """Returns the token a request must get at a position."""
+    """Returns the token that a request must receive at a position."""
     return f"{request_id}:{position}"
 
 
 def covers_once(layers: str) -> bool:
-    """Tells whether a trail runs all layers once, in order."""
+    """Tells whether a trail covers all layers once, in order."""
     at = 0
     for part in layers.split(">"):
         first, last = part.partition(":")[2].split("-")
--- a/tests/steps/choice_steps.py
+++ b/tests/steps/choice_steps.py
@@ -50,7 +50,7 @@
     context.state = fleets.make_broker(entries)
 
 
-@when('"{engine}" of kl-hall turns {factor:d} times slower')
+@when('"{engine}" of kl-hall becomes {factor:d} times slower')
 def step_slow(context: Any, engine: str, factor: int) -> None:
     context.slow = name(engine, "kl-hall")
     context.state.fleet.paces.record_pace(context.slow, float(factor))
@@ -63,7 +63,7 @@
             context.state.fleet.memory.add(entry.id, 1, 1e9)
 
 
-@when("it is back at its pace")
+@when("its pace is normal again")
 def step_back(context: Any) -> None:
     context.state.fleet.paces.record_pace(context.slow, 1.0)
 
@@ -90,7 +90,7 @@
     check_place(context, fleets.make_job("r", now_s=NOW_S), place)
 
 
-@then("the path of a request without a bound is within {place}")
+@then("the path of a request without a gap limit is within {place}")
 def step_unbound(context: Any, place: str) -> None:
     job = fleets.make_job("r", now_s=NOW_S)
     check_place(context, attrs.evolve(job, route=_unbound(job)), place)
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -59,13 +59,13 @@
     )
 
 
-@when("it tells the other host")
+@when("it sends its layers to the other host")
 def step_tells(context: Any) -> None:
     told = context.host.fleet.layer_changes.list_published(2.0, context.now_s)
     context.other.hear(make_news(told), context.now_s)
 
 
-@then('within 2 s it tells the others "{told}"')
+@then('within 2 s it sends the others "{told}"')
 def step_told(context: Any, told: str) -> None:
     found = context.host.fleet.layer_changes.list_published(
         2.0, context.now_s + 1.9
@@ -73,7 +73,7 @@
     assert describe(found) == told, found
 
 
-@then("2.1 s later it tells them nothing")
+@then("2.1 s later it sends them nothing")
 def step_told_nothing(context: Any) -> None:
     found = context.host.fleet.layer_changes.list_published(
         2.0, context.now_s + 2.1
@@ -81,7 +81,7 @@
     assert not found, found
 
 
-@then('30 s later, without the store, it tells the others "{told}"')
+@then('30 s later, without the store, it sends the others "{told}"')
 def step_told_away(context: Any, told: str) -> None:
     found = context.host.fleet.layer_changes.list_published(
         math.inf, context.now_s + 30.0
@@ -114,7 +114,7 @@
     )
 
 
-@when("{seconds:g} s later the two tell each other")
+@when("{seconds:g} s later the two exchange peer updates")
 def step_tell_each_other(context: Any, seconds: float) -> None:
     context.now_s += seconds
     told = {
@@ -127,7 +127,7 @@
     context.host.hear(make_news(told[context.other]), context.now_s)
 
 
-@then('both have "{layers}" and only the other host tells it')
+@then('both have "{layers}" and only the other host sends it')
 def step_gave_way(context: Any, layers: str) -> None:
     for host in (context.host, context.other):
         held = host.fleet.roster.entries[context.name].layers
@@ -142,7 +142,7 @@
     assert describe(found) == f"{context.name} {layers}", found
 
 
-@then('for {seconds:g} s it tells the others "{told}" and has it itself')
+@then('for {seconds:g} s it sends the others "{told}" and uses it itself')
 def step_told_for(context: Any, seconds: float, told: str) -> None:
     end_s = context.now_s + seconds
     while context.now_s < end_s:
--- a/tests/steps/paths_steps.py
+++ b/tests/steps/paths_steps.py
@@ -31,7 +31,7 @@
     )
 
 
-@given('cards "{cards}"')
+@given('candidates "{cards}"')
 def step_cards(context: Any, cards: str) -> None:
     context.cards = [make_card(c) for c in cards.split(", ")]
 
@@ -205,9 +205,7 @@
         )
 
 
-@then(
-    "each has room and costs no more than the path of the search by every part"
-)
+@then("each has room and costs no more than the path of an exhaustive search")
 def step_layouts_checked(context: Any) -> None:
     # The checks of room run for every layout.
     assert context.costs
--- a/tests/steps/search_steps.py
+++ b/tests/steps/search_steps.py
@@ -67,7 +67,7 @@
         context.state.tick(NOW_S + 0.02 * i)
 
 
-@when("they wait for {seconds:d} s, with news and reports a hundred a second")
+@when("they wait for {seconds:d} s with 100 peer updates and reports a second")
 def step_news(context: Any, seconds: int) -> None:
     state = context.state
     news = fleet.PeerUpdate("10.0.0.2", "kl-hall", {}, {}, (), {})
@@ -78,7 +78,7 @@
         state.refresh(now_s)
 
 
-@when("{count:d} requests wait that other engines turned away each")
+@when("{count:d} requests wait that other engines have refused")
 def step_turned_away(context: Any, count: int) -> None:
     state = context.state
     for i in range(count):
@@ -101,7 +101,9 @@
     context.effects = context.state.tick(NOW_S + 0.02)
 
 
-@when("a request waits that others then hold, and another one finds room")
+@when(
+    "a request waits that other hosts quarantine, and another one finds a path"
+)
 def step_held(context: Any) -> None:
     state = context.state
     ended = {"f": {"a": 1.0, "b": 1.0, "c": 1.0}}
@@ -118,7 +120,7 @@
     context.effects = state.arrive(other, NOW_S + 0.01)
 
 
-@then("the one is refused as held, and the other one starts")
+@then("the one is refused as quarantined, and the other one starts")
 def step_held_refused(context: Any) -> None:
     refused, start = context.effects
     assert isinstance(refused, questions.Refuse), context.effects
@@ -168,7 +170,7 @@
     )
 
 
-@then("only the engines of {place} were made out")
+@then("only the candidates of {place} were computed")
 def step_read(context: Any, place: str) -> None:
     assert context.read == [place], context.read
 
--- a/tests/steps/suspects_steps.py
+++ b/tests/steps/suspects_steps.py
@@ -90,7 +90,7 @@
     probe(context, host, engine, True)
 
 
-@when("{seconds:g} s later the hosts tell each other")
+@when("{seconds:g} s later the hosts exchange peer updates")
 def step_tell(context: Any, seconds: float) -> None:
     context.now_s += seconds
     tell(context)
@@ -101,7 +101,7 @@
     del context.hosts[host]
 
 
-@when("the others tell each other every {period:g} s for {length:g} s")
+@when("the others exchange peer updates every {period:g} s for {length:g} s")
 def step_tell_on(context: Any, period: float, length: float) -> None:
     for _ in range(round(length / period)):
         context.now_s += period
