--- a/egretspur/routing/backpressure.py
+++ b/egretspur/routing/backpressure.py
@@ -62,11 +62,11 @@
             limits: By upstream.
             now_s: Monotonic time.
         """
-        for upstream_id, told in limits.items():
+        for upstream_id, limit in limits.items():
             if upstream_id in self._roster.entries and self._throttle.hear(
-                host, data_centre, upstream_id, told, now_s
+                host, data_centre, upstream_id, limit, now_s
             ):
-                self._log_limit(upstream_id, told.per_s, False)
+                self._log_limit(upstream_id, limit.per_s, False)
 
     def record_limit(
         self, upstream_id: str, per_s: float | None, now_s: float
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -58,7 +58,7 @@
     pace: Mapping[str, float]
     # Upstreams whose probes failed until they counted as dead.
     dead: tuple[str, ...]
-    # Layers that engines reported to it.
+    # Layers that engines reported to the host.
     layers: Mapping[str, upstreams.AgedLayers]
     # Request memory in use beyond what the hosts count, by engine.
     excess: Mapping[str, float] = attrs.Factory(dict)
@@ -127,7 +127,7 @@
         # each path search needs them.
         self._grouped: dict[str, dict[str, list[upstreams.Upstream]]] = {}
         self._grouped_at = -1
-        # Suspects at the last call of `take_new_suspects`.
+        # Suspects at the last call of `check_new_suspects`.
         self._suspects: set[str] = set()
         # Peer updates and probe results applied; each may reveal free memory.
         self._update_count = 0
@@ -192,8 +192,8 @@
                 if upstream_id in self.roster.entries:
                     self.health.mark_down(upstream_id, now_s)
         self._apply_peer_suspects(update, now_s)
-        for upstream_id, told in update.layers.items():
-            self.layer_changes.apply_peer_layers(upstream_id, told, now_s)
+        for upstream_id, layers in update.layers.items():
+            self.layer_changes.apply_peer_layers(upstream_id, layers, now_s)
         self.backpressure.apply_peer_limits(
             update.host, update.data_centre, update.limits, now_s
         )
--- a/egretspur/routing/memory.py
+++ b/egretspur/routing/memory.py
@@ -38,7 +38,7 @@
     """Request memory in use at an engine beyond what the hosts count."""
 
     # Tokens times layers.
-    room: float
+    amount: float
     at_s: float
     # Reported to this host by the engine; otherwise from a peer update.
     is_own: bool
@@ -46,7 +46,7 @@
     def get(self, now_s: float) -> float:
         """Returns the excess that is left after decay."""
         left = 1.0 - (now_s - self.at_s) / EXCESS_DECAY_S
-        return self.room * max(0.0, left)
+        return self.amount * max(0.0, left)
 
 
 @attrs.frozen
@@ -165,9 +165,9 @@
     def list_excess(self, now_s: float) -> dict[str, float]:
         """Returns the recently reported excess, to send to other hosts."""
         return {
-            i: round(e.room)
+            i: round(e.amount)
             for i, e in self.excess.items()
-            if e.is_own and e.room and now_s - e.at_s < EXCESS_PUBLISH_S
+            if e.is_own and e.amount and now_s - e.at_s < EXCESS_PUBLISH_S
         }
 
 
--- a/egretspur/routing/paces.py
+++ b/egretspur/routing/paces.py
@@ -32,7 +32,9 @@
     pace: float = 1.0
     # Earliest time of the next probe.
     next_probe_s: float = 0.0
+    # An answer over the engine paused since the last probe.
     is_suspected: bool = False
+    # When a pace from a peer update expires; 0 if this host probed it.
     peer_pace_until_s: float = 0.0
 
 
--- a/egretspur/routing/paths.py
+++ b/egretspur/routing/paths.py
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class Costs:
-    """Costs of joining two engines, in seconds of one partial."""
+    """Costs of joining two engines, in seconds of one step."""
 
     # Half a pass of waiting plus the network hop.
     hop_s: float = 0.0015
