--- a/egretspur/routing/backpressure.py
+++ b/egretspur/routing/backpressure.py
@@ -100,10 +100,12 @@
         )
 
     def try_acquire_probe(self, upstream_id: str, now_s: float) -> bool:
-        """Takes a turn for a probe; returns whether there was one.
+        """Counts a probe as a request, if the upstream accepts one now.
 
-        Probes count as requests against an upstream's limit, and its backoff
-        holds for them too.
+        Limits and backoffs hold for probes as for any other request.
+
+        Returns:
+            Whether the probe may be sent.
         """
         is_backing_off = self._health.is_backing_off(upstream_id, now_s)
         if is_backing_off or not self._throttle.is_open(upstream_id, now_s):
@@ -112,7 +114,7 @@
         return True
 
     def apply_limit(
-        self, card: paths.Candidate, now_s: float
+        self, candidate: paths.Candidate, now_s: float
     ) -> paths.Candidate | None:
         """Removes the first layer from a candidate that is at its limit.
 
@@ -122,9 +124,9 @@
         Returns:
             None if the candidate has no other layer.
         """
-        if card.first or self._throttle.is_open(card.id, now_s):
-            return card
-        return attrs.evolve(card, first=1) if card.last > 1 else None
+        if candidate.first or self._throttle.is_open(candidate.id, now_s):
+            return candidate
+        return attrs.evolve(candidate, first=1) if candidate.last > 1 else None
 
     def record_demand(self, service: str, now_s: float) -> None:
         """Counts a request as demand, by which hosts share limits.
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -385,12 +385,12 @@
             return
         counted = self.memory.get_usage(upstream_id, now_s).room
         known = self.memory.get_excess(upstream_id, now_s)
-        beyond = self.memory.record_reported_usage(
+        excess = self.memory.record_reported_usage(
             upstream_id, report.used, now_s
         )
         # Logged only when first exceeded: an engine that refuses work is probed
         # several times a second.
-        if beyond > memory.EXCESS_LOG_FRACTION * report.size > known:
+        if excess > memory.EXCESS_LOG_FRACTION * report.size > known:
             self._log_state(
                 upstream_id,
                 "fuller",
@@ -405,13 +405,13 @@
             i for i in self.paces.take_due(now_s) if i not in self.health.failed
         ]
         due += self.health.take_due(listed, now_s)
-        late = [
+        postponed = [
             i for i in due if not self.backpressure.try_acquire_probe(i, now_s)
         ]
-        for upstream_id in late:
+        for upstream_id in postponed:
             self.health.record_inconclusive_probe(upstream_id)
             self.paces.postpone_probe(upstream_id)
-        due = [i for i in due if i not in late]
+        due = [i for i in due if i not in postponed]
         return [listed[i] for i in due if i in listed]
 
     def compute_digest(self) -> int:
@@ -628,22 +628,24 @@
             for e in self.list_usable(service, now_s)
             if e.id not in refused and self.throttle.is_open(e.id, now_s)
         ]
-        fresh = [e for e in usable if e.id not in avoid] or usable
+        preferred = [e for e in usable if e.id not in avoid] or usable
         cut_off = self.list_cut_off(now_s)
 
-        def expect_s(entry: upstreams.Upstream) -> float:
+        def compute_wait_s(entry: upstreams.Upstream) -> float:
             time_s = self.response_times_s.get(
                 entry.id, INITIAL_RESPONSE_TIME_S
             )
             waiting = self.memory.get_usage(entry.id, now_s).count
             turns = 1 + waiting / max(1, entry.slots)
-            near = 1.0 if entry.data_centre == self.data_centre else 1.2
+            distance_factor = (
+                1.0 if entry.data_centre == self.data_centre else 1.2
+            )
             if entry.data_centre in cut_off:
-                near = CUT_OFF_SLOWDOWN
+                distance_factor = CUT_OFF_SLOWDOWN
             slowdown = self.health.get_slowdown(entry.id, now_s)
-            return time_s * turns * near * slowdown
+            return time_s * turns * distance_factor * slowdown
 
-        return min(fresh, key=expect_s, default=None)
+        return min(preferred, key=compute_wait_s, default=None)
 
 
 def _limit_ids(ids: Sequence[str]) -> tuple[str, ...]:
--- a/egretspur/routing/health.py
+++ b/egretspur/routing/health.py
@@ -159,9 +159,9 @@
     def list_suspects(self, now_s: float) -> tuple[str, ...]:
         """Returns the failing upstreams, to send to other hosts.
 
-        Otherwise each of two hundred hosts detects a dead engine only when its
-        own requests fail there, one by one for all engines that died together,
-        until the retry budget is empty.
+        Without this exchange each of two hundred hosts detects a dead engine
+        only when its own requests fail there, one by one for all engines that
+        died together, until the retry budget is empty.
         """
         return tuple(
             i
@@ -176,7 +176,7 @@
         )
 
     def record_peer_suspicion(self, upstream_id: str, now_s: float) -> None:
-        """Records a peer's suspicion; only that host probes the upstream."""
+        """Records a peer's suspicion; the peer probes the upstream."""
         if not self.is_suspected(upstream_id, now_s):
             self._on_state_change(
                 upstream_id, "suspected", "another host finds it failing"
@@ -213,9 +213,9 @@
         failed = self.failed.setdefault(
             upstream_id, Failed(now_s, False, now_s + MIN_PROBE_INTERVAL_S)
         )
-        self._mark_down(upstream_id, failed, "failed", now_s)
+        self._set_down(upstream_id, failed, "failed", now_s)
 
-    def _mark_down(
+    def _set_down(
         self, upstream_id: str, failed: Failed, reason: str, now_s: float
     ) -> None:
         if not failed.is_down:
@@ -253,7 +253,7 @@
             del self.failed[upstream_id]
             return
         failed.is_probing = False
-        self._mark_down(upstream_id, failed, "does not answer probes", now_s)
+        self._set_down(upstream_id, failed, "does not answer probes", now_s)
         pause_s = MIN_PROBE_INTERVAL_S * 2**failed.failures
         failed.failures += 1
         if failed.failures == DEAD_PROBE_FAILURES:
--- a/egretspur/routing/paces.py
+++ b/egretspur/routing/paces.py
@@ -42,11 +42,11 @@
     """Paces of engines: factors by which they are slower than usual."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _PaceState] = {}
+        self._states: dict[str, _PaceState] = {}
 
     def get(self, upstream_id: str, now_s: float) -> float:
         """Returns the factor by which an engine is slower than usual."""
-        state = self._known.get(upstream_id)
+        state = self._states.get(upstream_id)
         if state is None:
             return 1.0
         if state.peer_pace_until_s and now_s >= state.peer_pace_until_s:
@@ -56,18 +56,18 @@
     def suspect(self, upstream_ids: Iterable[str]) -> None:
         """Marks the engines of a paused answer for a probe."""
         for upstream_id in upstream_ids:
-            self._known.setdefault(
+            self._states.setdefault(
                 upstream_id, _PaceState()
             ).is_suspected = True
 
     def has_suspects(self) -> bool:
         """Tells whether a suspected engine awaits a probe."""
-        return any(k.is_suspected for k in self._known.values())
+        return any(k.is_suspected for k in self._states.values())
 
     def take_due(self, now_s: float) -> list[str]:
         """Returns the engines to probe now."""
         due = []
-        for upstream_id, state in self._known.items():
+        for upstream_id, state in self._states.items():
             is_slow = (
                 state.pace > SLOW_THRESHOLD and not state.peer_pace_until_s
             )
@@ -79,7 +79,7 @@
 
     def postpone_probe(self, upstream_id: str) -> None:
         """Keeps an engine due that can't be probed yet."""
-        state = self._known.get(upstream_id)
+        state = self._states.get(upstream_id)
         if state is not None:
             state.is_suspected = True
             state.next_probe_s = 0.0
@@ -90,7 +90,7 @@
         Returns:
             Whether the engine became slow or returned to normal.
         """
-        state = self._known.setdefault(upstream_id, _PaceState())
+        state = self._states.setdefault(upstream_id, _PaceState())
         changed = (state.pace > SLOW_THRESHOLD) != (pace > SLOW_THRESHOLD)
         state.pace = pace
         state.peer_pace_until_s = 0.0
@@ -101,9 +101,9 @@
     ) -> None:
         """Merges the slow engines in a peer update."""
         for upstream_id, pace in paces.items():
-            state = self._known.get(upstream_id)
+            state = self._states.get(upstream_id)
             if state is None:
-                state = self._known[upstream_id] = _PaceState()
+                state = self._states[upstream_id] = _PaceState()
             if state.pace > SLOW_THRESHOLD and not state.peer_pace_until_s:
                 continue
             state.pace = pace
@@ -117,11 +117,11 @@
         """Returns the slow engines that this host probed itself."""
         return {
             i: round(k.pace, 2)
-            for i, k in self._known.items()
+            for i, k in self._states.items()
             if k.pace > SLOW_THRESHOLD and not k.peer_pace_until_s
         }
 
     def remove_unlisted(self, listed: Mapping[str, object]) -> None:
         """Drops engines that are no longer listed."""
-        for upstream_id in set(self._known) - set(listed):
-            del self._known[upstream_id]
+        for upstream_id in set(self._states) - set(listed):
+            del self._states[upstream_id]
