--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -145,11 +145,11 @@
         self,
         job: jobs.Job,
         spec: config.EngineSpec,
-        offers: cards.Cards,
+        candidates: cards.Candidates,
         now_s: float,
     ) -> tuple[paths.Part, ...] | None:
         """See `search.Search.choose`."""
-        for near in (offers.get(self._home), offers.list_all()):
+        for near in (candidates.get(self._home), candidates.list_all()):
             drawn = [
                 d
                 for _ in range(2)
@@ -160,7 +160,7 @@
         return None
 
     def _draw(
-        self, cards: Sequence[paths.Card], layers: int, tokens: float
+        self, cards: Sequence[paths.Candidate], layers: int, tokens: float
     ) -> tuple[paths.Part, ...]:
         """Returns a random path of engines with room, empty if it ends."""
         parts: list[paths.Part] = []
@@ -502,7 +502,7 @@
             for other, peer in self._brokers.items():
                 if other != place:
                     own = dict(peer.fleet.memory.own)
-                    state.fleet.memory.note_peer(
+                    state.fleet.memory.set_peer_usage(
                         other, memory.PeerUsage(now_s, own, other)
                     )
         self._timeline.after(NEWS_S, self._exchange)
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -93,7 +93,7 @@
 
     def take_notes(self) -> list[decisions.Decision]:
         """Returns what was decided since the last call, for the log."""
-        sources = (self._notes, self.fleet.notes, self._crashes.notes)
+        sources = (self._notes, self.fleet.log_events, self._crashes.notes)
         notes = [n for source in sources for n in source]
         for source in sources:
             source.clear()
@@ -105,7 +105,7 @@
         """Starts, queues or refuses a request."""
         self.counts.arrived += 1
         self.repeats.earn(job.service, now_s)
-        self.fleet.backpressure.note_wanted(job.service, now_s)
+        self.fleet.backpressure.record_demand(job.service, now_s)
         ticket = tickets.Ticket(job)
         self.tickets[job.id] = ticket
         return self._admit(ticket, now_s)
@@ -162,10 +162,12 @@
             return
         if ticket.parts:
             for part in ticket.parts:
-                self.fleet.health.note_success(part.id, now_s)
+                self.fleet.health.record_success(part.id, now_s)
             return
-        self.fleet.health.note_success(ticket.upstream_id, now_s)
-        self.fleet.note_time(ticket.upstream_id, now_s - ticket.started_s)
+        self.fleet.health.record_success(ticket.upstream_id, now_s)
+        self.fleet.record_response_time(
+            ticket.upstream_id, now_s - ticket.started_s
+        )
 
     def note_signals(
         self, upstream_id: str, answer: signals.Signals, now_s: float
@@ -177,16 +179,20 @@
         if upstream_id not in self.fleet.roster.entries:
             return []
         if answer.is_leaving:
-            self.fleet.backpressure.note_leaving(upstream_id)
+            self.fleet.backpressure.record_leaving(upstream_id)
         if isinstance(answer.backoff_s, float):
             # Spread, so that hosts that were asked together come back one by
             # one.
             backoff_s = answer.backoff_s * (
                 1.0 + self._rng.uniform(0.0, BACKOFF_SPREAD)
             )
-            self.fleet.backpressure.note_backoff(upstream_id, backoff_s, now_s)
+            self.fleet.backpressure.record_backoff(
+                upstream_id, backoff_s, now_s
+            )
         if not isinstance(answer.per_s, signals.Unreadable):
-            self.fleet.backpressure.note_limit(upstream_id, answer.per_s, now_s)
+            self.fleet.backpressure.record_limit(
+                upstream_id, answer.per_s, now_s
+            )
         return self._start_waiting(now_s)
 
     def _note_unreadable(
@@ -243,7 +249,7 @@
         may_resume: bool,
         now_s: float,
     ) -> jobs.Detour:
-        return self.search.find_detour(
+        return self.search.find_reroute(
             ticket.job, spec, ticket.parts, stalled, may_resume, now_s
         )
 
@@ -320,7 +326,7 @@
     ) -> list[jobs.Effect]:
         """Takes a new configuration."""
         self._services = cfg.services
-        with self.fleet.noting_changes(now_s):
+        with self.fleet.recording_list_changes(now_s):
             upstreams.configure(self.fleet.roster, cfg.services, now_s)
         return self.refresh(now_s)
 
@@ -331,7 +337,7 @@
     ) -> list[jobs.Effect]:
         """Takes the whole list of upstreams, by name."""
         self.listed_s = now_s
-        with self.fleet.noting_changes(now_s):
+        with self.fleet.recording_list_changes(now_s):
             upstreams.replace(self.fleet.roster, entries, now_s)
         return self.refresh(now_s)
 
@@ -344,14 +350,14 @@
     ) -> list[jobs.Effect]:
         """Takes changes of the list of upstreams; None for a removal."""
         self.listed_s = now_s
-        with self.fleet.noting_changes(now_s):
+        with self.fleet.recording_list_changes(now_s):
             for name, entry in entries:
                 upstreams.change(self.fleet.roster, name, entry, now_s)
         return self.refresh(now_s)
 
-    def hear(self, news: fleets.PeerNews, now_s: float) -> None:
+    def hear(self, news: fleets.PeerUpdate, now_s: float) -> None:
         """Takes what another host said."""
-        self.fleet.hear(news, now_s)
+        self.fleet.apply_peer_update(news, now_s)
         self.quarantine.hear(news.ended, now_s)
         self._crashes.settle(now_s)
         self.repeats.hear(
@@ -365,13 +371,13 @@
 
     def refresh(self, now_s: float) -> list[jobs.Effect]:
         """Starts what can, after the list of upstreams changed."""
-        self.fleet.forget_gone()
+        self.fleet.remove_unlisted()
         self._crashes.settle(now_s)
         return self._start_waiting(now_s)
 
     def tick(self, now_s: float) -> list[jobs.Effect]:
         """Refuses what came due and starts what can."""
-        with self.fleet.noting_changes(now_s):
+        with self.fleet.recording_list_changes(now_s):
             upstreams.expire(self.fleet.roster, now_s)
         self._crashes.settle(now_s)
         effects: list[jobs.Effect] = []
@@ -383,7 +389,7 @@
         """Tells whether something may come due at any moment."""
         return (
             bool(self.queue.waiting)
-            or self.fleet.is_asking()
+            or self.fleet.has_pending_probes()
             or self.quarantine.is_settling()
         )
 
@@ -528,7 +534,7 @@
         """Notes for the log why a request waits."""
         spec = self._get_spec(job.service)
         if spec is not None:
-            self._notes.append(self.search.explain(job, spec, now_s))
+            self._notes.append(self.search.explain_missing(job, spec, now_s))
 
     def _start_waiting(self, now_s: float) -> list[jobs.Effect]:
         """Serves the queue, unless that was done just now."""
@@ -592,7 +598,7 @@
                 service.name, ticket.failed, refused, now_s
             )
             return self._start(ticket, replica, now_s) if replica else None
-        parts = self.search.find(
+        parts = self.search.find_path(
             ticket.job, service.engine, ticket.failed, now_s, refused
         )
         if parts is None:
@@ -628,7 +634,7 @@
         peers = sum(
             1
             for p in self.fleet.memory.peers.values()
-            if now_s - p.heard_s < memory.USAGE_KEPT_S
+            if now_s - p.received_s < memory.PEER_USAGE_TTL_S
         )
         spec = self._get_spec(ticket.job.service)
         step_s, free = 0.0, 1.0
@@ -638,7 +644,7 @@
             ticket.job.id,
             ticket.attempts,
             entry.id,
-            paths.describe(ticket.parts),
+            paths.format_path(ticket.parts),
             step_s,
             free,
             now_s - self.listed_s,
@@ -678,13 +684,13 @@
             ticket.refused.update(dict.fromkeys(blamed, until_s))
         for upstream_id in blamed:
             if failure.why is jobs.Why.UNREACHABLE:
-                self.fleet.health.note_down(upstream_id, now_s)
+                self.fleet.health.mark_down(upstream_id, now_s)
             elif failure.why is jobs.Why.CUT:
-                self.fleet.health.note_fault(upstream_id, now_s)
+                self.fleet.health.record_fault(upstream_id, now_s)
             elif failure.blamed:
                 # It may also be dead; the probe tells.
-                self.fleet.health.note_refused(upstream_id, now_s)
-                self.fleet.health.note_fault(upstream_id, now_s)
+                self.fleet.health.record_refusal(upstream_id, now_s)
+                self.fleet.health.record_fault(upstream_id, now_s)
 
     def _check_repeat(
         self, ticket: tickets.Ticket, failure: jobs.Failure, now_s: float
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -1,9 +1,9 @@
-"""What one host knows of upstreams beyond their list: pure.
+"""One host's view of all upstreams, beyond the upstream list: pure.
 
-It joins what the modules beside it hold: requests in flight
-(`egretspur.routing.memory`), which upstreams failed of late
-(`egretspur.routing.health`), how fast they are (`egretspur.routing.paces`),
-what they ask of hosts (`egretspur.routing.backpressure`).
+Combines the requests in flight (`egretspur.routing.memory`), recent failures
+(`egretspur.routing.health`), engine speeds (`egretspur.routing.paces`) and
+the limits and backoffs that upstreams ask for
+(`egretspur.routing.backpressure`).
 """
 
 from __future__ import annotations
@@ -29,58 +29,61 @@
     paths,
 )
 
-# A data centre none of whose hosts was heard for so long is cut off from this
-# one, or its hosts are down; its engines are used only if no others do. Its
-# speaker is heard four times a second, through this one's; where either dies
-# another speaks within 1.5 s, so data centres may come last in the choice for
-# some 0.4 s.
-CUT_OFF_S: Final = 1.3
+# A data centre that sent no peer update for this long counts as cut off: the
+# network is partitioned or its hosts are down, and its engines are used only
+# if no others can serve. Its speaker's updates arrive four times a second
+# through the local speaker. If either speaker dies, another one takes over
+# within 1.5 s, so a data centre may wrongly count as cut off for some 0.4 s.
+CUT_OFF_AFTER_S: Final = 1.3
 
-# Weight of a new sample in the smoothed time of a plain service's answer.
-TIME_WEIGHT: Final = 0.2
+# Weight of a new sample in a plain replica's smoothed response time.
+RESPONSE_TIME_WEIGHT: Final = 0.2
 
-# How much slower a replica counts that stands in a data centre that is cut off.
-CUT_OFF_COST: Final = 20.0
+# Factor on the expected wait of a replica in a data centre that is cut off.
+CUT_OFF_SLOWDOWN: Final = 20.0
 
-# Answer time assumed of a plain service before the first sample, in seconds.
-FIRST_TIME_S: Final = 0.05
+# Response time assumed for a plain replica before the first sample.
+INITIAL_RESPONSE_TIME_S: Final = 0.05
 
 
 @attrs.frozen
-class PeerNews:
-    """What another host has in flight."""
+class PeerUpdate:
+    """State of another host, as its peer update carries it."""
 
     host: str
     data_centre: str
     usage: Mapping[str, jobs.Usage]
-    # Engines that run slower than their kind.
+    # Factors by which engines are slower than their accelerator type usually
+    # is; slow engines only.
     pace: Mapping[str, float]
-    # Upstreams that it found dead.
+    # Upstreams whose probes failed until they counted as dead.
     dead: tuple[str, ...]
-    # Layers that engines reported to it.
+    # Layers that engines reported to the host.
     layers: Mapping[str, upstreams.AgedLayers]
-    # Request memory beyond what the hosts count, by engine.
+    # Request memory in use beyond what the hosts count, by engine.
     excess: Mapping[str, float] = attrs.Factory(dict)
-    # Upstreams that it, or a speaker's whole data centre, finds failing.
+    # Upstreams that the host finds failing; in a speaker's update, those that
+    # any host of its data centre finds failing.
     suspects: tuple[str, ...] = ()
-    # What it, or a speaker's whole data centre, spent of the retry budgets.
+    # Retry budget spent by the host; in a speaker's update, by its whole data
+    # centre.
     spent: Mapping[str, shared.Spent] = attrs.Factory(dict)
-    # Upstreams that ended under requests, by fingerprint; none where it was
-    # answered.
+    # Upstreams that crashed under requests, by the request's fingerprint; empty
+    # once the request was answered.
     ended: Mapping[str, quarantine.Ends] = attrs.Factory(dict)
-    # It does not know what was spent before it started.
+    # The host started recently: its `spent` lacks what was spent before.
     is_new: bool = False
-    # Limits that upstreams named, or name no more, as far as it knows.
+    # Rate limits that upstreams set or lifted.
     limits: Mapping[str, throttle.Told] = attrs.Factory(dict)
 
 
 @attrs.frozen
 class _StepCosts:
-    """What of an engine's times is the same for all engines of a service."""
+    """Step times that all engines of a service have in common."""
 
-    # Seconds of a step that one more request takes.
+    # Seconds that each further request adds to a step.
     request_s: float
-    # Seconds of a whole chunk of a prompt.
+    # Seconds that a full prompt chunk takes.
     chunk_s: float
 
     @classmethod
@@ -102,35 +105,40 @@
         is_counting_excess: bool = True,
         limits: throttle.Throttle | None = None,
     ) -> None:
-        """Makes a state that knows no upstream.
+        """Makes an empty fleet.
 
         Args:
             data_centre: Of this host.
-            is_counting_excess: Engines' own words on their memory count.
-            limits: This host's part of the limits that upstreams name.
+            is_counting_excess: Whether memory that engines report beyond the
+                hosts' own count reduces their free memory.
+            limits: This host's shares of the upstreams' rate limits.
         """
         self.data_centre = data_centre
         self.throttle = limits or throttle.Throttle()
         self._is_counting_excess = is_counting_excess
         self.roster = upstreams.Roster()
         self.memory = memory.Memory(data_centre)
-        self.health = health.Health(self._note)
+        self.health = health.Health(self._log_state)
         self.paces = paces.Paces()
-        # Smoothed seconds of a plain service's answers.
-        self.times: dict[str, float] = {}
-        self.moves = moves.Moves(self.roster)
-        # Upstreams by service and data centre, as of a change of the list:
-        # each choice of a path asks for them.
+        # Smoothed response times of plain replicas.
+        self.response_times_s: dict[str, float] = {}
+        self.layer_changes = moves.LayerChanges(self.roster)
+        # Upstreams by service and data centre, cached until the list changes:
+        # each path search needs them.
         self._grouped: dict[str, dict[str, list[upstreams.Upstream]]] = {}
         self._grouped_at = -1
-        # Found failing as other hosts were last told.
+        # Suspects at the last call of `check_new_suspects`.
         self._suspects: set[str] = set()
-        # News and probes taken, each of which may show room.
-        self._learned = 0
-        # What changed in the beliefs about upstreams, for the log.
-        self.notes: list[decisions.Decision] = []
+        # Peer updates and probe results applied; each may reveal free memory.
+        self._update_count = 0
+        # State changes of upstreams that are not yet logged.
+        self.log_events: list[decisions.Decision] = []
         self.backpressure = backpressure.Backpressure(
-            data_centre, self.roster, self.health, self.throttle, self.notes
+            data_centre,
+            self.roster,
+            self.health,
+            self.throttle,
+            self.log_events,
         )
 
     def is_usable(self, entry: upstreams.Upstream, now_s: float) -> bool:
@@ -153,62 +161,64 @@
         ]
 
     def get_revision(self) -> int:
-        """Returns a number that differs once there may be room anew.
+        """Returns a number that changes when capacity may have been freed.
 
-        It stays the same while only time passes, and where there is less room.
+        It stays the same while only time passes or less memory is free.
         """
-        return self._learned + self.get_own_revision()
+        return self._update_count + self.get_own_revision()
 
     def get_own_revision(self) -> int:
-        """Returns a number that differs once there may be room by this host.
+        """Returns a number that changes when this host may see free capacity.
 
-        That is where it gives some back, and where the list or what an
-        upstream asks for changes; not where others tell of their requests.
+        It changes when a request of this host ends, the list changes, or an
+        upstream sets or lifts a limit. Peer updates leave it unchanged.
         """
         return (
             self.roster.changes
-            + self.memory.releases
+            + self.memory.release_count
             + self.backpressure.changes
         )
 
-    def hear(self, news: PeerNews, now_s: float) -> None:
-        """Takes what another host said."""
-        self._learned += 1
-        self.memory.hear(
-            news.host, news.data_centre, news.usage, news.excess, now_s
+    def apply_peer_update(self, update: PeerUpdate, now_s: float) -> None:
+        """Merges another host's peer update."""
+        self._update_count += 1
+        self.memory.apply_peer_update(
+            update.host, update.data_centre, update.usage, update.excess, now_s
         )
-        self.paces.hear(news.pace, now_s)
-        # A host in the same data centre sees what this one would see.
-        if news.data_centre == self.data_centre:
-            for upstream_id in news.dead:
+        self.paces.apply_peer_paces(update.pace, now_s)
+        # Only hosts of this data centre reach upstreams the way this host does.
+        if update.data_centre == self.data_centre:
+            for upstream_id in update.dead:
                 if upstream_id in self.roster.entries:
-                    self.health.note_down(upstream_id, now_s)
-        self._hear_suspects(news, now_s)
-        for upstream_id, told in news.layers.items():
-            self.moves.hear(upstream_id, told, now_s)
-        self.backpressure.hear(news.host, news.data_centre, news.limits, now_s)
-
-    def _hear_suspects(self, news: PeerNews, now_s: float) -> None:
-        """Takes what another host finds failing.
-
-        From another data centre only what it says of its own upstreams: where
-        the two others are cut off from each other, each finds all upstreams
-        of the other failing, which are well for this one.
+                    self.health.mark_down(upstream_id, now_s)
+        self._apply_peer_suspects(update, now_s)
+        for upstream_id, layers in update.layers.items():
+            self.layer_changes.apply_peer_layers(upstream_id, layers, now_s)
+        self.backpressure.apply_peer_limits(
+            update.host, update.data_centre, update.limits, now_s
+        )
+
+    def _apply_peer_suspects(self, update: PeerUpdate, now_s: float) -> None:
+        """Merges the upstreams that another host suspects.
+
+        A host of another data centre is believed only about its own upstreams:
+        when two other data centres are cut off from each other, each finds all
+        upstreams of the other failing, though this host still reaches them.
         """
-        for upstream_id in news.suspects:
+        for upstream_id in update.suspects:
             entry = self.roster.entries.get(upstream_id)
-            if entry is not None and news.data_centre in (
+            if entry is not None and update.data_centre in (
                 self.data_centre,
                 entry.data_centre,
             ):
-                self.health.hear_suspect(upstream_id, now_s)
+                self.health.record_peer_suspicion(upstream_id, now_s)
 
-    def is_asking(self) -> bool:
-        """Tells whether an upstream is to be asked that has just failed."""
-        return self.health.is_asking() or self.paces.is_asking()
+    def has_pending_probes(self) -> bool:
+        """Tells whether a new failure or slowdown awaits a probe."""
+        return self.health.has_pending_probes() or self.paces.has_suspects()
 
-    def take_new_suspects(self, now_s: float) -> bool:
-        """Tells whether upstreams were found failing since the last call."""
+    def check_new_suspects(self, now_s: float) -> bool:
+        """Tells whether there are new suspects since the last call."""
         before, self._suspects = (
             self._suspects,
             set(self.health.list_suspects(now_s)),
@@ -216,12 +226,13 @@
         return not self._suspects <= before
 
     def list_suspects(self, now_s: float, is_speaker: bool) -> tuple[str, ...]:
-        """Returns the upstreams to tell other hosts of as failing.
+        """Returns the suspects to send to other hosts.
 
         Args:
             now_s: Monotonic time.
-            is_speaker: For other data centres, to which this host speaks for
-                its own: what any of its hosts finds of its upstreams.
+            is_speaker: Whether the update goes to other data centres on behalf
+                of this one. It then has the suspects of all local hosts, but
+                only those in this data centre.
         """
         found = self.health.list_suspects(now_s)
         if not is_speaker:
@@ -229,81 +240,94 @@
         entries = self.roster.entries
         return tuple(
             i
-            for i in dict.fromkeys((*found, *self.health.list_heard(now_s)))
+            for i in dict.fromkeys(
+                (*found, *self.health.list_peer_suspects(now_s))
+            )
             if i in entries and entries[i].data_centre == self.data_centre
         )
 
     def list_cut_off(self, now_s: float) -> set[str]:
-        """Returns the data centres whose hosts fell silent, all of them."""
+        """Returns the data centres of which no host sent updates recently."""
         last: dict[str, float] = {}
         for peer in self.memory.peers.values():
             known = last.get(peer.data_centre, 0.0)
-            last[peer.data_centre] = max(known, peer.heard_s)
+            last[peer.data_centre] = max(known, peer.received_s)
         return {
-            place
-            for place, heard_s in last.items()
-            if place != self.data_centre and now_s - heard_s > CUT_OFF_S
+            data_centre
+            for data_centre, received_s in last.items()
+            if data_centre != self.data_centre
+            and now_s - received_s > CUT_OFF_AFTER_S
         }
 
-    def _note(self, upstream_id: str, state: str, reason: str) -> None:
-        self.notes.append(decisions.UpstreamChanged(upstream_id, state, reason))
+    def _log_state(self, upstream_id: str, state: str, reason: str) -> None:
+        self.log_events.append(
+            decisions.UpstreamChanged(upstream_id, state, reason)
+        )
 
-    def note_time(self, upstream_id: str, seconds: float) -> None:
-        """Takes the time of a plain service's answer."""
-        old = self.times.get(upstream_id, seconds)
-        self.times[upstream_id] = old + TIME_WEIGHT * (seconds - old)
+    def record_response_time(self, upstream_id: str, seconds: float) -> None:
+        """Adds a response time of a plain replica."""
+        old = self.response_times_s.get(upstream_id, seconds)
+        self.response_times_s[upstream_id] = old + RESPONSE_TIME_WEIGHT * (
+            seconds - old
+        )
 
     @contextlib.contextmanager
-    def noting_changes(self, now_s: float) -> Iterator[None]:
-        """Notes what changes on the list within the block.
+    def recording_list_changes(self, now_s: float) -> Iterator[None]:
+        """Records the list changes made within the block.
 
-        For the log, and layers for the other hosts.
+        They go to the log, and changed layers to the other hosts.
         """
         before = dict(self.roster.entries)
         unreadable = set(self.roster.unreadable)
         unfit = dict(self.roster.unfit)
         changes = self.roster.changes
         yield
-        self._note_strange(unfit, unreadable)
+        self._log_rejected_entries(unfit, unreadable)
         if self.roster.changes == changes:
             return
-        self._note_listed(
+        self._log_new_entries(
             [e for i, e in self.roster.entries.items() if i not in before]
         )
         for upstream_id, entry in self.roster.entries.items():
             old = before.get(upstream_id)
             if old and entry.layers is not None and entry.layers != old.layers:
-                self.moves.note_listed(upstream_id, entry.layers, now_s)
+                self.layer_changes.record_listed(
+                    upstream_id, entry.layers, now_s
+                )
             if entry.is_draining and not (old and old.is_draining):
-                self._note(upstream_id, "draining", "reported that it leaves")
+                self._log_state(
+                    upstream_id, "draining", "reported that it leaves"
+                )
         for upstream_id in set(before) - set(self.roster.entries):
             is_again = before[upstream_id].name in self.roster.by_name
-            self._note(
+            self._log_state(
                 upstream_id,
                 "gone",
                 "started again" if is_again else "no longer listed",
             )
 
-    def _note_listed(self, entries: Sequence[upstreams.Upstream]) -> None:
-        """Notes entries that are new on the list.
+    def _log_new_entries(self, entries: Sequence[upstreams.Upstream]) -> None:
+        """Logs entries that are new on the list.
 
-        In one line where they are many: two hundred hosts that start before
-        two hundred upstreams would write forty thousand.
+        Many new entries share one line: two hundred hosts that start before
+        two hundred upstreams would otherwise write forty thousand lines.
         """
         if len(entries) > decisions.NAMED:
-            names = _name_some([e.id for e in entries])
-            self.notes.append(decisions.UpstreamsListed(len(entries), names))
+            names = _limit_ids([e.id for e in entries])
+            self.log_events.append(
+                decisions.UpstreamsListed(len(entries), names)
+            )
             return
         for entry in entries:
-            self._note(entry.id, "listed", entry.address)
+            self._log_state(entry.id, "listed", entry.address)
 
-    def _note_strange(
+    def _log_rejected_entries(
         self, unfit: Mapping[str, str], unreadable: set[str]
     ) -> None:
-        """Notes entries that have turned out to be no upstream's own."""
+        """Logs entries that were newly rejected as invalid."""
         for name, field in self.roster.unfit.items():
             if unfit.get(name) != field:
-                self.notes.append(
+                self.log_events.append(
                     decisions.EntryLeftOut(
                         "upstreams",
                         name,
@@ -312,58 +336,62 @@
                     )
                 )
         for upstream_id in self.roster.unreadable - unreadable:
-            self._note(
-                upstream_id, "unreadable", "its newest record can't be used"
+            self._log_state(
+                upstream_id, "unreadable", "its newest record is invalid"
             )
 
-    def note_report(
+    def apply_report(
         self,
         upstream_id: str,
         report: upstreams.EngineReport | None,
         now_s: float,
     ) -> None:
-        """Takes an engine's answer to a probe; None if there was none.
+        """Applies an engine's probe report; None if the probe failed.
 
-        A report of another start tells nothing of this one. A newer start
-        takes its place at once.
+        A report of another incarnation says nothing about this one. A newer
+        incarnation replaces the entry at once.
         """
         entry = self.roster.entries.get(upstream_id)
         if report is None or entry is None:
-            self.note_probe(upstream_id, report is not None, 1.0, now_s)
+            self.record_probe(upstream_id, report is not None, 1.0, now_s)
             return
         if not upstreams.is_other_start(entry, report):
-            self._note_memory(upstream_id, report, now_s)
-            self.note_probe(upstream_id, True, report.pace, now_s)
+            self._apply_memory_report(upstream_id, report, now_s)
+            self.record_probe(upstream_id, True, report.pace, now_s)
             return
-        with self.noting_changes(now_s):
+        with self.recording_list_changes(now_s):
             upstreams.note_restart(self.roster, upstream_id, report, now_s)
-        # Asked again if it still counts: the report was of an older start.
-        self.health.note_unanswered(upstream_id)
+        # If the entry remains, the report was of an older incarnation and the
+        # upstream is probed again.
+        self.health.record_inconclusive_probe(upstream_id)
 
-    def note_probe(
+    def record_probe(
         self, upstream_id: str, is_ok: bool, pace: float, now_s: float
     ) -> None:
-        """Takes whether an upstream answered a probe, and its pace."""
-        self._learned += 1
-        if is_ok and self.paces.note(upstream_id, pace):
-            is_slow = pace > paces.USUAL
-            self._note(
+        """Records whether an upstream answered a probe, and its pace."""
+        self._update_count += 1
+        if is_ok and self.paces.record_pace(upstream_id, pace):
+            is_slow = pace > paces.SLOW_THRESHOLD
+            self._log_state(
                 upstream_id, "slow" if is_slow else "back", f"pace {pace}"
             )
-        self.health.note_probe(upstream_id, is_ok, now_s)
+        self.health.record_probe(upstream_id, is_ok, now_s)
 
-    def _note_memory(
+    def _apply_memory_report(
         self, upstream_id: str, report: upstreams.EngineReport, now_s: float
     ) -> None:
-        """Takes an engine's own word on its memory."""
+        """Applies the memory usage that an engine reports."""
         if not self._is_counting_excess:
             return
         counted = self.memory.get_usage(upstream_id, now_s).room
         known = self.memory.get_excess(upstream_id, now_s)
-        beyond = self.memory.note_used(upstream_id, report.used, now_s)
-        # An engine is asked several times a second while it refuses.
-        if beyond > memory.EXCESS_NOTED * report.size > known:
-            self._note(
+        excess = self.memory.record_reported_usage(
+            upstream_id, report.used, now_s
+        )
+        # Logged only when first exceeded: an engine that refuses work is probed
+        # several times a second.
+        if excess > memory.EXCESS_LOG_FRACTION * report.size > known:
+            self._log_state(
                 upstream_id,
                 "fuller",
                 f"{report.used:.0f} in use of {report.size:.0f},"
@@ -371,24 +399,26 @@
             )
 
     def take_probes(self, now_s: float) -> list[upstreams.Upstream]:
-        """Returns the upstreams to ask now, for their health or pace."""
+        """Returns the upstreams to probe now for their health or pace."""
         listed = self.roster.entries
         due = [
             i for i in self.paces.take_due(now_s) if i not in self.health.failed
         ]
         due += self.health.take_due(listed, now_s)
-        late = [i for i in due if not self.backpressure.may_ask(i, now_s)]
-        for upstream_id in late:
-            self.health.note_unanswered(upstream_id)
-            self.paces.put_off(upstream_id)
-        due = [i for i in due if i not in late]
+        postponed = [
+            i for i in due if not self.backpressure.try_acquire_probe(i, now_s)
+        ]
+        for upstream_id in postponed:
+            self.health.record_inconclusive_probe(upstream_id)
+            self.paces.postpone_probe(upstream_id)
+        due = [i for i in due if i not in postponed]
         return [listed[i] for i in due if i in listed]
 
     def compute_digest(self) -> int:
-        """Returns a number that differs where the list differs.
+        """Returns a checksum of the upstream list.
 
-        Of layers it takes what the list says, not what an engine said since:
-        that ends, and then all hosts must have the same list.
+        It covers the listed layers rather than those that engines reported
+        since: reports expire, and then all hosts must agree on the list.
         """
         roster = self.roster
         rows = []
@@ -396,50 +426,52 @@
             layers = upstreams.get_listed(roster, entry.id)
             held = f"{layers.first}-{layers.last}" if layers else "none"
             if entry.id in roster.unreadable:
-                # A host that has read the list anew does not know it at all.
+                # A host that read the whole list again has no such entry.
                 continue
             rows.append(
                 f"{entry.id} {entry.address} {entry.is_draining} {held}"
             )
         return zlib.crc32("\n".join(sorted(rows)).encode())
 
-    def forget_gone(self) -> None:
-        """Drops what is known of upstreams that are no longer listed."""
+    def remove_unlisted(self) -> None:
+        """Drops the state of upstreams that are no longer listed."""
         listed = self.roster.entries
         tables: tuple[dict[str, Any], ...] = (
-            self.times,
+            self.response_times_s,
             self.memory.excess,
         )
         for table in tables:
             for upstream_id in set(table) - set(listed):
                 del table[upstream_id]
-        self.moves.forget(listed)
-        self.paces.forget(listed)
-        self.health.forget(listed)
-        self.backpressure.forget(listed)
+        self.layer_changes.remove_unlisted(listed)
+        self.paces.remove_unlisted(listed)
+        self.health.remove_unlisted(listed)
+        self.backpressure.remove_unlisted(listed)
 
-    def offer(
+    def list_candidates(
         self, service: str, spec: config.EngineSpec, now_s: float
-    ) -> cards.Cards:
-        """Returns a service's usable engines that hold layers."""
-        places = self._group_by_place(service)
+    ) -> cards.Candidates:
+        """Returns the candidates for a path: usable engines with layers."""
+        by_data_centre = self._group_by_data_centre(service)
         costs = _StepCosts.make(spec)
 
-        def read(place: str) -> list[paths.Card]:
+        def read(data_centre: str) -> list[paths.Candidate]:
             return [
-                card
-                for e in places[place]
+                candidate
+                for e in by_data_centre[data_centre]
                 if self.is_usable(e, now_s)
-                and (card := self._make_card(e, spec, costs, now_s))
-                and (card := self.backpressure.hold_back(card, now_s))
+                and (candidate := self._make_candidate(e, spec, costs, now_s))
+                and (
+                    candidate := self.backpressure.apply_limit(candidate, now_s)
+                )
             ]
 
-        return cards.Cards(places, read)
+        return cards.Candidates(by_data_centre, read)
 
-    def _group_by_place(
+    def _group_by_data_centre(
         self, service: str
     ) -> Mapping[str, Sequence[upstreams.Upstream]]:
-        """Returns a service's upstreams by data centre, in their order."""
+        """Returns a service's upstreams by data centre, sorted by its name."""
         if self._grouped_at != self.roster.changes:
             self._grouped_at = self.roster.changes
             self._grouped.clear()
@@ -452,14 +484,14 @@
             self._grouped[service] = dict(sorted(groups.items()))
         return self._grouped[service]
 
-    def _make_card(
+    def _make_candidate(
         self,
         entry: upstreams.Upstream,
         spec: config.EngineSpec,
         costs: _StepCosts,
         now_s: float,
-    ) -> paths.Card | None:
-        """Returns what an engine offers; None if it holds no layers."""
+    ) -> paths.Candidate | None:
+        """Returns an engine as a path candidate; None if it has no layers."""
         kind = spec.accelerators.get(entry.accelerator)
         if entry.layers is None or kind is None:
             return None
@@ -470,7 +502,7 @@
         read_s = slow * kind.read_factor * costs.chunk_s
         pass_s = spec.stride * (step_s * kind.pace * slow + read_s)
         pace = kind.pace * slow * self.health.get_slowdown(entry.id, now_s)
-        return paths.Card(
+        return paths.Candidate(
             entry.id,
             entry.address,
             entry.data_centre,
@@ -485,23 +517,23 @@
         self,
         spec: config.EngineSpec,
         job: jobs.Job,
-        offers: Sequence[paths.Card],
+        candidates: Sequence[paths.Candidate],
         now_s: float,
     ) -> decisions.PathMissing:
-        """Returns why there is no path for a request.
+        """Returns why no path was found for a request.
 
         Args:
-            spec: Of its service.
+            spec: Of the request's service.
             job: The request.
-            offers: Usable engines, as a path was last looked for.
+            candidates: Candidates of the last path search.
             now_s: Monotonic time.
         """
-        held = [(c.first, c.last) for c in offers]
+        held = [(c.first, c.last) for c in candidates]
         entries = [
             e for e in self.roster.entries.values() if e.service == job.service
         ]
         full = [
-            c.id for c in offers if c.free < (c.last - c.first) * job.tokens
+            c.id for c in candidates if c.free < (c.last - c.first) * job.tokens
         ]
         paused = [
             e.id
@@ -522,22 +554,23 @@
             layers=" ".join(
                 f"{a}-{b}" for a, b in paths.find_gaps(held, spec.layers)
             ),
-            full=_name_some(full),
-            paused=_name_some(paused),
-            down=_name_some(down),
-            leaving=_name_some(leaving),
-            limited=_name_some(limited),
+            full=_limit_ids(full),
+            paused=_limit_ids(paused),
+            down=_limit_ids(down),
+            leaving=_limit_ids(leaving),
+            limited=_limit_ids(limited),
             cut_off=tuple(sorted(self.list_cut_off(now_s))),
         )
 
-    def list_late(
-        self, service: config.Service, longest_pass_s: float, now_s: float
+    def list_too_slow(
+        self, service: config.Service, max_pass_s: float, now_s: float
     ) -> set[str]:
-        """Returns the engines that are too slow for prompt answers.
+        """Returns the slow engines that would make answers late.
 
         Args:
-            service: Theirs.
-            longest_pass_s: Longest pass of an engine on a prompt path.
+            service: Service of the engines.
+            max_pass_s: Longest pass of one engine that keeps answers on
+                time.
             now_s: Monotonic time.
         """
         spec = service.engine
@@ -545,15 +578,15 @@
             return set()
         return {
             c.id
-            for c in self.offer(service.name, spec, now_s).list_all()
-            if self.paces.get(c.id, now_s) > paces.USUAL
-            and (c.last - c.first) * c.pass_s > longest_pass_s
+            for c in self.list_candidates(service.name, spec, now_s).list_all()
+            if self.paces.get(c.id, now_s) > paces.SLOW_THRESHOLD
+            and (c.last - c.first) * c.pass_s > max_pass_s
         }
 
     def describe_path(
         self, spec: config.EngineSpec, parts: Sequence[paths.Part], now_s: float
     ) -> tuple[float, float]:
-        """Returns a path's expected step and its tightest stage.
+        """Returns a path's expected step time and least free memory.
 
         Args:
             spec: Of the path's service.
@@ -561,8 +594,8 @@
             now_s: Monotonic time.
 
         Returns:
-            Seconds of one step, and the least free part of a stage's request
-            memory, from 0 to 1.
+            Seconds of one step, and the smallest free fraction, from 0 to 1, of
+            any of its engines' request memory.
         """
         step_s = 0.0
         free = 1.0
@@ -571,12 +604,12 @@
             entry = self.roster.entries.get(part.id)
             if entry is None:
                 continue
-            card = self._make_card(entry, spec, costs, now_s)
-            if card is None:
+            candidate = self._make_candidate(entry, spec, costs, now_s)
+            if candidate is None:
                 continue
-            step_s += (part.last - part.first) * card.layer_s
+            step_s += (part.last - part.first) * candidate.layer_s
             size = room.compute_size(spec, entry) * room.USABLE
-            free = min(free, card.free / size if size else 0.0)
+            free = min(free, candidate.free / size if size else 0.0)
         return step_s, free
 
     def choose_replica(
@@ -585,9 +618,9 @@
         """Returns a plain service's replica with the shortest expected wait.
 
         Args:
-            service: Its name.
-            avoid: Replicas that are chosen only where there is no other.
-            refused: Replicas that are not chosen.
+            service: Name of the service.
+            avoid: Replicas to use only if there is no other.
+            refused: Replicas never to use.
             now_s: Monotonic time.
         """
         usable = [
@@ -595,22 +628,26 @@
             for e in self.list_usable(service, now_s)
             if e.id not in refused and self.throttle.is_open(e.id, now_s)
         ]
-        fresh = [e for e in usable if e.id not in avoid] or usable
+        preferred = [e for e in usable if e.id not in avoid] or usable
         cut_off = self.list_cut_off(now_s)
 
-        def expect_s(entry: upstreams.Upstream) -> float:
-            time_s = self.times.get(entry.id, FIRST_TIME_S)
+        def compute_wait_s(entry: upstreams.Upstream) -> float:
+            time_s = self.response_times_s.get(
+                entry.id, INITIAL_RESPONSE_TIME_S
+            )
             waiting = self.memory.get_usage(entry.id, now_s).count
             turns = 1 + waiting / max(1, entry.slots)
-            near = 1.0 if entry.data_centre == self.data_centre else 1.2
+            distance_factor = (
+                1.0 if entry.data_centre == self.data_centre else 1.2
+            )
             if entry.data_centre in cut_off:
-                near = CUT_OFF_COST
+                distance_factor = CUT_OFF_SLOWDOWN
             slowdown = self.health.get_slowdown(entry.id, now_s)
-            return time_s * turns * near * slowdown
+            return time_s * turns * distance_factor * slowdown
 
-        return min(fresh, key=expect_s, default=None)
+        return min(preferred, key=compute_wait_s, default=None)
 
 
-def _name_some(ids: Sequence[str]) -> tuple[str, ...]:
-    """Returns as many ids as a log line names."""
+def _limit_ids(ids: Sequence[str]) -> tuple[str, ...]:
+    """Returns the first ids, as many as a log line may name."""
     return tuple(sorted(ids)[: decisions.NAMED])
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -212,15 +212,17 @@
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.now_s += STEP_S
-            peers.do_due(self.due, self.now_s)
+            peers.run_due(self.due, self.now_s)
             self._answer()
             for host in list(self.hosts):
                 self.take(host, host.state.tick(self.now_s))
                 self._probe(host)
                 self._save(host)
-                if self.now_s >= host.next_news_s:
-                    host.next_news_s = self.now_s + NEWS_S
-                    peers.tell(host, self.hosts, self.is_heard, self.now_s)
+                if self.now_s >= host.next_update_s:
+                    host.next_update_s = self.now_s + NEWS_S
+                    peers.send_update(
+                        host, self.hosts, self.is_heard, self.now_s
+                    )
 
     def _save(self, host: peers.Host) -> None:
         for change in host.state.take_unsaved():
@@ -248,7 +250,7 @@
     def _probe(self, host: peers.Host) -> None:
         for entry in host.state.fleet.take_probes(self.now_s):
             report = upstreams.PLAIN_REPORT if entry.id in self.live else None
-            host.state.fleet.note_report(entry.id, report, self.now_s)
+            host.state.fleet.apply_report(entry.id, report, self.now_s)
 
     def count_late(self) -> int:
         """Returns how often engines were reached after the bound began."""
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -87,7 +87,7 @@
         part = fleets.parse_layers(layers)
         assert part is not None
         usage[name] = jobs.Usage(40, float(tokens * part.count))
-    context.broker.fleet.memory.note_peer(
+    context.broker.fleet.memory.set_peer_usage(
         "10.1.0.9", memory.PeerUsage(context.now_s, usage)
     )
 
@@ -177,7 +177,7 @@
         # Engines that failed are back at once; only the request counts here.
         take(context, context.broker.fail(failure, context.now_s))
         for name in list(context.broker.fleet.health.failed):
-            context.broker.fleet.note_probe(name, True, 1.0, context.now_s)
+            context.broker.fleet.record_probe(name, True, 1.0, context.now_s)
         context.broker.fleet.health.refusals.clear()
         if "r" in context.broker.tickets:
             context.broker.tickets["r"].failed.clear()
@@ -271,7 +271,7 @@
     for i in range(seconds * 10):
         context.now_s += 0.1
         for entry in state.take_probes(context.now_s):
-            state.note_probe(entry.id, False, 1.0, context.now_s)
+            state.record_probe(entry.id, False, 1.0, context.now_s)
         if context.dead_s is None and state.health.is_dead(
             "a100-0", context.now_s
         ):
@@ -287,7 +287,7 @@
 
 @when("a probe succeeds")
 def step_probe(context: Any) -> None:
-    context.broker.fleet.note_probe("a100-0", True, 1.0, context.now_s)
+    context.broker.fleet.record_probe("a100-0", True, 1.0, context.now_s)
 
 
 @then("requests are sent there again")
@@ -298,7 +298,7 @@
 @when("the first engine refuses its part {times:d} times")
 def step_refuses(context: Any, times: int) -> None:
     for _ in range(times):
-        context.broker.fleet.health.note_refused("a100-0", context.now_s)
+        context.broker.fleet.health.record_refusal("a100-0", context.now_s)
         context.now_s += 1.0
     context.now_s -= 1.0
 
@@ -323,7 +323,7 @@
     state.paces.suspect(["a100-0"])
     due = [e.id for e in state.take_probes(context.now_s)]
     assert due == ["a100-0"], due
-    state.note_probe("a100-0", True, float(pace), context.now_s)
+    state.record_probe("a100-0", True, float(pace), context.now_s)
 
 
 @then("requests go over the twin")
@@ -341,7 +341,7 @@
 
 @when("it says that its pace is {pace:d}")
 def step_back_to_pace(context: Any, pace: int) -> None:
-    context.broker.fleet.note_probe("a100-0", True, pace, context.now_s)
+    context.broker.fleet.record_probe("a100-0", True, pace, context.now_s)
 
 
 @when("a request runs that has nowhere near by to go on")
@@ -520,7 +520,7 @@
 
 @when('engine "{name}" dies')
 def step_dies(context: Any, name: str) -> None:
-    context.broker.fleet.health.note_down(name, context.now_s)
+    context.broker.fleet.health.mark_down(name, context.now_s)
 
 
 @then('the path of a request is in "{places}"')
@@ -534,7 +534,7 @@
 def hear(context: Any, place: str) -> None:
     """Hears a host of a data centre now."""
     state = context.broker.fleet.memory
-    state.note_peer(place, memory.PeerUsage(context.now_s, {}, place))
+    state.set_peer_usage(place, memory.PeerUsage(context.now_s, {}, place))
 
 
 @when("the hosts of both are heard")
@@ -574,8 +574,8 @@
     context.broker = fleets.make_broker(entries)
     state = context.broker.fleet
     state.memory.add("a100-0", 1, 1e9)
-    state.health.note_down("a100-1", 0.0)
-    state.health.note_refused("l40s-0", 0.0)
+    state.health.mark_down("a100-1", 0.0)
+    state.health.record_refusal("l40s-0", 0.0)
 
 
 @when("a request comes")
@@ -617,10 +617,10 @@
     state = context.broker.fleet
     size = room.compute_size(fleets.SPEC, state.roster.entries["a100-1"])
     report = attrs.evolve(upstreams.PLAIN_REPORT, used=part * size, size=size)
-    state.note_report("a100-1", report, context.now_s)
+    state.apply_report("a100-1", report, context.now_s)
     told = state.memory.list_excess(context.now_s)
-    news = fleet.PeerNews("10.0.0.2", "kl-hall", {}, {}, (), {}, told)
-    context.other.fleet.hear(news, context.now_s)
+    news = fleet.PeerUpdate("10.0.0.2", "kl-hall", {}, {}, (), {}, told)
+    context.other.fleet.apply_peer_update(news, context.now_s)
 
 
 @when("an engine's report says that {part:g} of its memory is in use")
--- a/tests/steps/choice_steps.py
+++ b/tests/steps/choice_steps.py
@@ -50,10 +50,10 @@
     context.state = fleets.make_broker(entries)
 
 
-@when('"{engine}" of kl-hall turns {factor:d} times slower')
+@when('"{engine}" of kl-hall becomes {factor:d} times slower')
 def step_slow(context: Any, engine: str, factor: int) -> None:
     context.slow = name(engine, "kl-hall")
-    context.state.fleet.paces.note(context.slow, float(factor))
+    context.state.fleet.paces.record_pace(context.slow, float(factor))
 
 
 @when("the engines of the other data centres are full")
@@ -63,9 +63,9 @@
             context.state.fleet.memory.add(entry.id, 1, 1e9)
 
 
-@when("it is back at its pace")
+@when("its pace is normal again")
 def step_back(context: Any) -> None:
-    context.state.fleet.paces.note(context.slow, 1.0)
+    context.state.fleet.paces.record_pace(context.slow, 1.0)
 
 
 @when('a request that runs in kl-hall has to leave "{engine}"')
@@ -90,7 +90,7 @@
     check_place(context, fleets.make_job("r", now_s=NOW_S), place)
 
 
-@then("the path of a request without a bound is within {place}")
+@then("the path of a request without a gap limit is within {place}")
 def step_unbound(context: Any, place: str) -> None:
     job = fleets.make_job("r", now_s=NOW_S)
     check_place(context, attrs.evolve(job, route=_unbound(job)), place)
@@ -103,7 +103,7 @@
 def check_place(context: Any, job: jobs.Job, place: str) -> None:
     """Checks in which data centre the path of a request is."""
     spec = fleets.SPEC
-    offers = context.state.fleet.offer("llm", spec, NOW_S)
+    offers = context.state.fleet.list_candidates("llm", spec, NOW_S)
     rng = random.Random(7)
     parts = choice.choose(job, spec, offers, set(), "kl-hall", rng)
     assert parts is not None
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -139,7 +139,7 @@
 def hear_ends(state: broker.Broker, count: int, now_s: float) -> None:
     """Has a broker hear that some engines ended under the request."""
     ends = {f"start-{i}": 1.0 for i in range(count)}
-    news = fleet.PeerNews(
+    news = fleet.PeerUpdate(
         "10.9.0.1", "kl-hall", {}, {}, (), {}, ended={crashes.FATAL: ends}
     )
     state.hear(news, now_s)
@@ -190,7 +190,7 @@
     context.detours = []
     for _ in range(count):
         last = host.state.tickets[name].parts[-1].id
-        host.state.fleet.health.note_down(last, world.now_s)
+        host.state.fleet.health.mark_down(last, world.now_s)
         context.detours.append(
             host.state.repath(name, frozenset([last]), world.now_s)
         )
@@ -253,7 +253,7 @@
         return
     failure = jobs.Failure(job.id, jobs.Why.CUT, "reset")
     host.state.fail(failure, world.now_s)
-    host.state.fleet.note_report(start.upstream.id, None, world.now_s)
+    host.state.fleet.apply_report(start.upstream.id, None, world.now_s)
     host.state.tick(world.now_s)
 
 
--- a/tests/steps/entries_steps.py
+++ b/tests/steps/entries_steps.py
@@ -185,19 +185,21 @@
     for host in context.hosts:
         state = host.broker.fleet
         mine = find(host, "e-1").id
-        state.health.note_down(mine, context.now_s)
-        state.health.note_refused(mine, context.now_s)
-        state.health.note_fault(mine, context.now_s)
-        state.paces.note(mine, 5.0)
+        state.health.mark_down(mine, context.now_s)
+        state.health.record_refusal(mine, context.now_s)
+        state.health.record_fault(mine, context.now_s)
+        state.paces.record_pace(mine, 5.0)
         state.memory.add(mine, 3, 900.0)
-        state.moves.note_reported(mine, upstreams.Layers(0, 31), context.now_s)
+        state.layer_changes.record_reported(
+            mine, upstreams.Layers(0, 31), context.now_s
+        )
 
 
 @when("a probe of e-1 brings a report of a newer start")
 def step_newer_report(context: Any) -> None:
     host = context.hosts[0]
     report = attrs.evolve(upstreams.PLAIN_REPORT, born_ms=AGAIN_MS)
-    host.broker.fleet.note_report(find(host, "e-1").id, report, context.now_s)
+    host.broker.fleet.apply_report(find(host, "e-1").id, report, context.now_s)
 
 
 @when("a probe of e-1 brings a report of its former start")
@@ -210,7 +212,7 @@
     )
     for host in context.hosts:
         mine = find(host, "e-1").id
-        host.broker.fleet.note_report(mine, report, context.now_s)
+        host.broker.fleet.apply_report(mine, report, context.now_s)
         assert host.broker.fleet.paces.get(mine, context.now_s) == 1.0
 
 
@@ -222,7 +224,7 @@
     former = upstreams.make_start_id("e-1", listing.BORN_MS)
     held = fleets.parse_layers(layers)
     assert held is not None
-    news = fleet.PeerNews(
+    news = fleet.PeerUpdate(
         "10.0.0.99",
         "kl-hall",
         {former: jobs.Usage(40, 1e6)},
@@ -231,7 +233,7 @@
         {former: upstreams.AgedLayers(held, 0.0)},
     )
     for host in context.hosts:
-        host.broker.fleet.hear(news, context.now_s)
+        host.broker.fleet.apply_peer_update(news, context.now_s)
         host.broker.refresh(context.now_s)
 
 
@@ -312,4 +314,6 @@
         assert state.memory.get_usage(entry.id, context.now_s) == jobs.Usage()
         assert entry.layers is None
         former = upstreams.make_start_id("e-1", listing.BORN_MS)
-        assert former not in state.moves.list_told(2.0, context.now_s)
+        assert former not in state.layer_changes.list_published(
+            2.0, context.now_s
+        )
--- a/tests/steps/search_steps.py
+++ b/tests/steps/search_steps.py
@@ -67,18 +67,18 @@
         context.state.tick(NOW_S + 0.02 * i)
 
 
-@when("they wait for {seconds:d} s, with news and reports a hundred a second")
+@when("they wait for {seconds:d} s with 100 peer updates and reports a second")
 def step_news(context: Any, seconds: int) -> None:
     state = context.state
-    news = fleet.PeerNews("10.0.0.2", "kl-hall", {}, {}, (), {})
+    news = fleet.PeerUpdate("10.0.0.2", "kl-hall", {}, {}, (), {})
     for i in range(seconds * 100):
         now_s = NOW_S + 0.1 + 0.01 * i
         state.hear(news, now_s)
-        state.fleet.note_report("a100-0", upstreams.PLAIN_REPORT, now_s)
+        state.fleet.apply_report("a100-0", upstreams.PLAIN_REPORT, now_s)
         state.refresh(now_s)
 
 
-@when("{count:d} requests wait that other engines turned away each")
+@when("{count:d} requests wait that other engines have refused")
 def step_turned_away(context: Any, count: int) -> None:
     state = context.state
     for i in range(count):
@@ -101,7 +101,9 @@
     context.effects = context.state.tick(NOW_S + 0.02)
 
 
-@when("a request waits that others then hold, and another one finds room")
+@when(
+    "a request waits that other hosts quarantine, and another one finds a path"
+)
 def step_held(context: Any) -> None:
     state = context.state
     ended = {"f": {"a": 1.0, "b": 1.0, "c": 1.0}}
@@ -109,7 +111,7 @@
     state.arrive(attrs.evolve(job, fingerprint="f"), NOW_S)
     assert list(state.queue.waiting) == ["held"]
     state.hear(
-        fleet.PeerNews("10.0.0.2", "kl-hall", {}, {}, (), {}, ended=ended),
+        fleet.PeerUpdate("10.0.0.2", "kl-hall", {}, {}, (), {}, ended=ended),
         NOW_S,
     )
     for engine_id in list(state.fleet.memory.own):
@@ -118,7 +120,7 @@
     context.effects = state.arrive(other, NOW_S + 0.01)
 
 
-@then("the one is refused as held, and the other one starts")
+@then("the one is refused as quarantined, and the other one starts")
 def step_held_refused(context: Any) -> None:
     refused, start = context.effects
     assert isinstance(refused, questions.Refuse), context.effects
@@ -140,7 +142,8 @@
     spec = fleets.SPEC
     search = context.state.search
     context.found = {
-        job.id: search.find(job, spec, set(), NOW_S) for job in (large, small)
+        job.id: search.find_path(job, spec, set(), NOW_S)
+        for job in (large, small)
     }
 
 
@@ -152,7 +155,7 @@
 
 @when("a request is sent")
 def step_send(context: Any) -> None:
-    offers = context.state.fleet.offer("llm", fleets.SPEC, NOW_S)
+    offers = context.state.fleet.list_candidates("llm", fleets.SPEC, NOW_S)
     context.read = []
     read = offers._read
 
@@ -167,7 +170,7 @@
     )
 
 
-@then("only the engines of {place} were made out")
+@then("only the candidates of {place} were computed")
 def step_read(context: Any, place: str) -> None:
     assert context.read == [place], context.read
 
@@ -185,7 +188,7 @@
             )
             upstreams.put(roster, more, 0.0)
             # Twice as slow where one attempt in six failed of late.
-            context.state.fleet.health.note_fault(id_, NOW_S)
+            context.state.fleet.health.record_fault(id_, NOW_S)
 
 
 @when(
@@ -197,7 +200,7 @@
     entries = context.state.fleet.roster.entries
     for i in range(count):
         job = fleets.make_job(f"r{i}", now_s=NOW_S)
-        parts = context.state.search.find(job, fleets.SPEC, set(), NOW_S)
+        parts = context.state.search.find_path(job, fleets.SPEC, set(), NOW_S)
         context.counts[entries[parts[0].id].data_centre] += 1
 
 
--- a/tests/steps/suspects_steps.py
+++ b/tests/steps/suspects_steps.py
@@ -63,7 +63,7 @@
     state = context.hosts[host].fleet
     due = [e.id for e in state.take_probes(context.now_s)]
     assert engine in due, due
-    state.note_probe(engine, is_ok, 1.0, context.now_s)
+    state.record_probe(engine, is_ok, 1.0, context.now_s)
 
 
 @when(
@@ -81,7 +81,7 @@
 
 @when('a request of host {host} finds "{engine}" unreachable')
 def step_unreachable(context: Any, host: str, engine: str) -> None:
-    context.hosts[host].fleet.health.note_down(engine, context.now_s)
+    context.hosts[host].fleet.health.mark_down(engine, context.now_s)
 
 
 @when('"{engine}" answers the next probe of host {host}')
@@ -90,7 +90,7 @@
     probe(context, host, engine, True)
 
 
-@when("{seconds:g} s later the hosts tell each other")
+@when("{seconds:g} s later the hosts exchange peer updates")
 def step_tell(context: Any, seconds: float) -> None:
     context.now_s += seconds
     tell(context)
@@ -101,7 +101,7 @@
     del context.hosts[host]
 
 
-@when("the others tell each other every {period:g} s for {length:g} s")
+@when("the others exchange peer updates every {period:g} s for {length:g} s")
 def step_tell_on(context: Any, period: float, length: float) -> None:
     for _ in range(round(length / period)):
         context.now_s += period
@@ -123,12 +123,12 @@
             for host, state in context.hosts.items():
                 is_same = PLACES[host] == PLACES[sender]
                 if host != sender and is_same == is_near:
-                    state.fleet.hear(news, context.now_s)
+                    state.fleet.apply_peer_update(news, context.now_s)
 
 
-def make_news(host: str, suspects: tuple[str, ...]) -> fleet.PeerNews:
+def make_news(host: str, suspects: tuple[str, ...]) -> fleet.PeerUpdate:
     """Returns news of failing engines alone."""
-    return fleet.PeerNews(
+    return fleet.PeerUpdate(
         host, PLACES[host], {}, {}, (), {}, {}, suspects=suspects
     )
 
@@ -137,7 +137,7 @@
     """Returns the engines of the path that a host finds near an engine."""
     state = context.hosts[host]
     place = engine.partition("-hall")[0][-2:] + "-hall"
-    offers = state.fleet.offer("llm", fleets.SPEC, context.now_s)
+    offers = state.fleet.list_candidates("llm", fleets.SPEC, context.now_s)
     found = paths.find_path(offers.get(place), 80, 900.0, place)
     return {p.id for p in found} if found else set()
 
