--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -1,8 +1,8 @@
 """All decisions about a router's requests, as one pure state machine.
 
-It joins the graphs, loads, queue, limits and retry budget. Its methods take a
-message and the time and return effects; `egretspur.routing.actor` runs them,
-and the fuzzing drives the same code without threads or sockets.
+Combines the graphs, loads, queue, limits and retry budget. Its methods take a
+message and the time and return effects. `egretspur.routing.actor` runs the
+effects; the fuzz tests drive the same code without threads or sockets.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 )
 from egretspur.routing import graph as graphs
 
-# Times a request is sent back to the queue because its upstream was busy.
+# How often a request returns to the queue because its upstream was busy.
 BUSY_TRIES: Final = 20
 
-# How long a cut may stay unexplained: the platform's list lags by two seconds
-# and is read once a second, and the router hears of it within one more.
+# How long the cause of a cut may stay unknown: the platform's list lags by two
+# seconds, is read once a second, and reaches the router within one more.
 SETTLE_S: Final = 5.0
 
-# Requests under which upstreams ended that other hosts are told of.
+# Limit on the requests that crashed upstreams sent in one peer update.
 ENDED_TOLD: Final = 16
 
 
 class Dispatcher:
-    """State of one router; see the module's docstring."""
+    """Request state of one router; see the module's docstring."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self._shares = shares.WorkspaceShares(
             name, limit_opts.settle_s, timing.deadline_s
         )
-        # Time of the message being handled.
+        # Monotonic time of the message being handled.
         self._now_s = 0.0
 
     # Messages from callers.
@@ -113,7 +113,7 @@
     def fail(
         self, failure: requests.Failure, now_s: float
     ) -> list[requests.Effect]:
-        """Decides what follows a failed attempt."""
+        """Retries, resumes or refuses a request after a failed attempt."""
         self._now_s = now_s
         ticket = self.tickets.get(failure.id)
         if ticket is None:
@@ -151,7 +151,7 @@
         return [*self._admit(ticket, now_s), *self._start_waiting(now_s)]
 
     def progress(self, message: requests.Progress, now_s: float) -> None:
-        """Learns from tokens that came."""
+        """Updates load and speed estimates from received tokens."""
         ticket = self.tickets.get(message.id)
         if ticket is None or ticket.path is None:
             return
@@ -160,7 +160,7 @@
     def finish(
         self, request_id: str, now_s: float, is_answered: bool = False
     ) -> list[requests.Effect]:
-        """Ends a request; its answer was whole, or its caller gave it up."""
+        """Ends a request that was answered completely or cancelled."""
         self._now_s = now_s
         ticket = self.tickets.pop(request_id, None)
         if ticket is None:
@@ -178,7 +178,7 @@
     def update(
         self, message: tables.RoutingUpdate, now_s: float
     ) -> list[requests.Effect]:
-        """Takes a new table, marks and demand."""
+        """Applies an update from the control daemon."""
         self._now_s = now_s
         table = message.table
         if table is not None and self.network.take_table(table):
@@ -192,7 +192,7 @@
         return [*self._refuse_waiting(now_s), *self._start_waiting(now_s)]
 
     def tick(self, now_s: float) -> list[requests.Effect]:
-        """Refuses what came due, lets probes begin, starts what can."""
+        """Refuses expired requests, begins probes and starts waiting ones."""
         self._now_s = now_s
         effects: list[requests.Effect] = []
         for item in queues.expire(self.queue, now_s):
@@ -210,7 +210,7 @@
         return effects + self._start_waiting(now_s)
 
     def get_demand(self) -> dict[str, int]:
-        """Returns running and waiting requests by workspace with a limit."""
+        """Returns running plus waiting requests by binding with a limit."""
         demand = {
             key: count for key, count in self.running.items() if count > 0
         }
@@ -224,7 +224,7 @@
         }
 
     def get_services(self, name: str, now_s: float) -> list[tables.Upstream]:
-        """Returns a plain service's replicas that may be given a call."""
+        """Returns a plain service's usable replicas in order of preference."""
         found = self.network.list_usable(name)
         self._rng.shuffle(found)
         found.sort(
@@ -238,29 +238,29 @@
     def note_signals(
         self, name: str, answer: signals.Signals, now_s: float
     ) -> tuple[bool, list[requests.Effect]]:
-        """Takes what an upstream asked of the hosts beside an answer.
+        """Applies the limit, backoff and leaving signals of an answer.
 
         Returns:
-            Whether the other hosts are to be told, and what follows.
+            Whether to notify the other hosts, and the effects to run.
         """
         self._now_s = now_s
         is_new = self.availability.note_signals(name, answer, now_s)
         return is_new, self._start_waiting(now_s) if is_new else []
 
     def note_service(self, name: str, is_ok: bool, now_s: float) -> None:
-        """Learns from a plain service's answer or its absence."""
+        """Records whether a plain service's replica answered."""
         self.network.note_result(name, is_ok, now_s)
 
     def note_call(
         self, name: str, fingerprint: str, is_answered: bool, now_s: float
     ) -> None:
-        """Learns how a call ended that a plain service has been sent.
+        """Records how a call to a plain service ended.
 
         Args:
-            name: The replica.
-            fingerprint: Of the call.
-            is_answered: Else its answer is lost, and the replica may have
-                ended.
+            name: Name of the replica.
+            fingerprint: Fingerprint of the call.
+            is_answered: False if the answer was lost; the replica may have
+                crashed.
             now_s: Monotonic time.
         """
         if is_answered:
@@ -273,13 +273,13 @@
         self._settle(now_s)
 
     def list_ended(self, now_s: float) -> dict[str, dict[str, float]]:
-        """Returns upstreams that ended under requests, for other hosts."""
+        """Returns crashed upstreams by request, for other hosts."""
         return self.quarantine.list_told(ENDED_TOLD, now_s)
 
     # Decisions.
 
     def _settle(self, now_s: float) -> None:
-        """Counts the upstreams that have turned out to have ended."""
+        """Counts the upstreams that are now known to have crashed."""
         self.quarantine.settle(self.network.look_at, now_s)
         for change in self.quarantine.take_changes():
             decisions.record(
@@ -294,19 +294,19 @@
     def _refuse_held(
         self, request_id: str, reason: str, now_s: float
     ) -> list[requests.Effect]:
-        """Refuses a request that may not be sent."""
+        """Refuses a quarantined request."""
         fingerprint = self.tickets[request_id].arrival.fingerprint
         queues.remove(self.queue, request_id)
         return self._refuse_ticket(
             request_id,
             errors.ErrorKind.QUARANTINED,
-            f"{reason}; upstreams ended under it",
+            f"{reason}; upstreams crashed while running it",
             now_s,
             self.quarantine.get_retry_after_s(fingerprint),
         )
 
     def _refuse_waiting(self, now_s: float) -> list[requests.Effect]:
-        """Refuses those that wait and may not be sent any more."""
+        """Refuses the waiting requests that have been quarantined."""
         return [
             effect
             for i in list(self.queue.waiting)
@@ -354,7 +354,7 @@
         return self._refuse_ticket(
             offered.evicted.id,
             errors.ErrorKind.QUEUE_FULL,
-            "gave way to a more urgent request or a smaller workspace's",
+            "evicted by a more urgent request or a smaller workspace's",
             now_s,
             1.0,
         )
@@ -366,7 +366,7 @@
         item: queues.Waiting,
         now_s: float,
     ) -> list[requests.Effect]:
-        """Refuses a request whose turn at its upstreams comes too late."""
+        """Refuses a request whose rate-limited turn is after its deadline."""
         opening = self.availability.find_opening(graph.last, now_s)
         if opening is None or ticket.begun:
             return []
@@ -386,10 +386,10 @@
     def _wait_begun(
         self, ticket: requests.Ticket, item: queues.Waiting, now_s: float
     ) -> list[requests.Effect]:
-        """Queues a request whose caller has a part of the answer.
+        """Queues a request whose caller already has a part of the answer.
 
         It is queued even where a new one would be refused: a probe, a spare
-        or another's end may bring the rest before its new deadline.
+        or the end of another request may free a path before its new deadline.
         """
         ticket.deadline_s = now_s + self._timing.deadline_s
         self.queue.waiting[item.id] = attrs.evolve(
@@ -446,7 +446,7 @@
         ticket.path = path
         self.availability.take(path.edges[-1].upstream, now_s)
         ticket.starts = tuple(
-            # The caller's answer comes from the last one.
+            # The last stage first: it sends the caller's answer.
             self.network.name_start(e.upstream)
             for e in reversed(path.edges)
         )
@@ -483,10 +483,10 @@
         failure: requests.Failure,
         now_s: float,
     ) -> list[requests.Effect]:
-        """Sends a request that an engine had no slot for back to the queue.
+        """Requeues a request that an engine refused for want of a slot.
 
-        The engine has not started it, so this is no retry; the refusal also
-        is the freshest load report there can be.
+        The engine has not started it, so the retry budget is not charged. The
+        refusal also serves as the most recent load report.
         """
         self.counts.busy += 1
         ticket.attempts -= 1
@@ -498,7 +498,7 @@
             return self._refuse_ticket(
                 ticket.arrival.id,
                 errors.ErrorKind.QUEUE_FULL,
-                "upstreams stay busy",
+                "upstreams stayed busy",
                 now_s,
                 1.0,
             )
@@ -532,8 +532,8 @@
     ) -> list[requests.Effect]:
         ticket = self.tickets.pop(request_id, None)
         if ticket is not None and ticket.maybe_started:
-            # The row of this kind may promise "not run", which no longer is
-            # certain once any attempt was sent.
+            # The answer for the original kind may state that the request was
+            # not run, which is not certain once an attempt was sent.
             kind = errors.ErrorKind.UPSTREAM_FAILED
         return self._refuse(
             request_id, errors.Refusal(kind, reason, retry_after_s)
@@ -546,14 +546,14 @@
         return [questions.Refuse(request_id, refusal)]
 
     def _has_rivals(self, item: queues.Waiting, hold: shares.Hold) -> bool:
-        """Tells whether others of its graph wait and may start."""
+        """Returns whether other requests of its graph wait and may start."""
         return any(
             w.graph == item.graph and not self._is_held(w, hold)
             for w in self.queue.waiting.values()
         )
 
     def _make_hold(self) -> shares.Hold:
-        """Returns what limits hold back, as of now."""
+        """Returns a check of workspace limits for one pass over the queue."""
         waiting = collections.Counter(
             self.tickets[w.id].key for w in self.queue.waiting.values()
         )
@@ -568,7 +568,10 @@
         return shares.Hold(compute_share, self.running)
 
     def _is_held(self, item: queues.Waiting, hold: shares.Hold) -> bool:
-        """Tells whether a limit holds a request back; never one begun."""
+        """Returns whether its workspace's limit delays a request.
+
+        A request of which tokens were delivered is never delayed.
+        """
         ticket = self.tickets[item.id]
         return not ticket.begun and hold.is_held(ticket.key)
 
