--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -1,7 +1,7 @@
 """Actor that owns a router's `Dispatcher` and runs its effects.
 
-Request threads talk to it through `Traffic`. Tokens never pass through it;
-a request costs it a few messages in all.
+Request threads reach it through `Traffic`. A request costs it a few messages
+in all, since tokens do not pass through it.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Arrive:
-    """A request with the future that its thread waits on."""
+    """Submits a request; its thread waits on the future."""
 
     arrival: requests.Arrival
     fut: DecisionFuture
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Fail:
-    """A failed attempt with the future for what comes next."""
+    """Reports a failed attempt; the future receives the next decision."""
 
     failure: requests.Failure
     fut: DecisionFuture
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class Finish:
-    """A request is over."""
+    """Reports that a request has ended."""
 
     id: str
     is_answered: bool
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class Tick:
-    """Time passed."""
+    """Triggers the dispatcher's periodic work."""
 
 
 @attrs.frozen
@@ -63,14 +63,14 @@
 
 @attrs.frozen
 class IsHeld:
-    """Asks whether a request or call may not be sent."""
+    """Asks whether a request or call is quarantined."""
 
     fingerprint: str
 
 
 @attrs.frozen
 class NoteCall:
-    """A call was answered by a plain service, or its answer is lost."""
+    """Reports whether a plain service answered a call or the answer is lost."""
 
     upstream: str
     fingerprint: str
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class NoteService:
-    """A plain service answered or did not."""
+    """Reports whether a plain service answered."""
 
     upstream: str
     is_ok: bool
@@ -87,7 +87,7 @@
 
 @attrs.frozen
 class NoteSignals:
-    """An upstream asked something of the hosts beside an answer."""
+    """Reports an upstream's limit, backoff or leaving signals."""
 
     upstream: str
     answer: signals.Signals
@@ -95,14 +95,14 @@
 
 @attrs.frozen
 class TakeTurn:
-    """Asks whether a plain service's replica may be sent a call now."""
+    """Asks for a permit to send a call to a plain service's replica now."""
 
     upstream: str
 
 
 @attrs.frozen
 class PromiseTurn:
-    """Asks when a call may come back that none of some replicas takes."""
+    """Asks when to retry a call that none of these replicas accepts."""
 
     service: str
     upstreams: tuple[str, ...]
@@ -115,7 +115,7 @@
 
 @attrs.frozen
 class Report:
-    """What the control daemon is told."""
+    """The router's part of its report to the control daemon."""
 
     in_force: int
     leaving: tuple[tables.LeavingMark, ...]
@@ -150,12 +150,12 @@
     saved_retries: float
     upstreams: tuple[UpstreamDump, ...]
     leaving: dict[str, tuple[str, ...]]
-    # Requests that are sent to no upstream, with the starts that ended.
+    # Quarantined requests, with the upstream incarnations that crashed.
     quarantine: dict[str, dict[str, float]]
 
 
 class TrafficActor(actors.Actor):
-    """Holds the dispatcher; see the messages above."""
+    """Applies the messages above to the dispatcher."""
 
     def __init__(
         self, dispatcher: dispatch.Dispatcher, marked: Callable[[], None]
@@ -289,12 +289,12 @@
         )
 
     def note_failed(self, message: Any) -> None:
-        """Answers the request that could not be decided on."""
+        """Refuses the request whose handling raised an exception."""
         questions.answer_failed(message)
 
 
 class Traffic:
-    """Typed front of the actor for request threads."""
+    """Typed interface to the actor for request threads."""
 
     def __init__(
         self, dispatcher: dispatch.Dispatcher, marked: Callable[[], None]
@@ -303,8 +303,8 @@
 
         Args:
             dispatcher: Owned by the actor from now on.
-            marked: Called when an upstream said something that the other
-                hosts are to be told at once.
+            marked: Called when an upstream's signal must reach the other
+                hosts at once.
         """
         self._throttle = dispatcher.availability.throttle
         self._ref = TrafficActor.start(dispatcher, marked)
@@ -314,23 +314,23 @@
         self._ref.stop()
 
     def arrive(self, arrival: requests.Arrival) -> DecisionFuture:
-        """Hands in a request; the future gives its first path or refusal."""
+        """Submits a request; the future gives its first path or refusal."""
         fut: DecisionFuture = concurrent.futures.Future()
         self._ref.tell(Arrive(arrival, fut))
         return fut
 
     def fail(self, failure: requests.Failure) -> DecisionFuture:
-        """Reports a failed attempt; the future gives the next path."""
+        """Reports a failed attempt; the future gives a new path or refusal."""
         fut: DecisionFuture = concurrent.futures.Future()
         self._ref.tell(Fail(failure, fut))
         return fut
 
     def finish(self, request_id: str, is_answered: bool) -> None:
-        """Reports that a request is over, its answer whole or given up."""
+        """Reports that a request was answered completely or has ended."""
         self._ref.tell(Finish(request_id, is_answered))
 
     def is_held(self, fingerprint: str) -> bool:
-        """Tells whether a request or call may not be sent."""
+        """Returns whether a request or call is quarantined."""
         held: bool = actors.ask(self._ref, IsHeld(fingerprint))
         return held
 
@@ -346,27 +346,27 @@
         self._ref.tell(message)
 
     def note_signals(self, upstream: str, answer: signals.Signals) -> None:
-        """Takes what an answer asks of the hosts; most ask nothing."""
+        """Reports the signals of an answer; most answers have none."""
         if answer != signals.NONE or self._throttle.limited:
             self._ref.tell(NoteSignals(upstream, answer))
 
     def take_turn(self, upstream: str) -> bool:
-        """Takes a turn at a replica, if it takes a call now."""
+        """Acquires a permit if a replica accepts a call now."""
         is_taken: bool = actors.ask(self._ref, TakeTurn(upstream))
         return is_taken
 
     def promise_turn(self, service: str, upstreams: tuple[str, ...]) -> float:
-        """Returns the seconds until a call that none took may come back."""
+        """Returns the seconds after which a caller refused by all may retry."""
         after_s: float = actors.ask(self._ref, PromiseTurn(service, upstreams))
         return after_s
 
     def get_services(self, name: str) -> list[tables.Upstream]:
-        """Returns a plain service's replicas, least busy first."""
+        """Returns a plain service's replicas, available and idle ones first."""
         found: list[tables.Upstream] = actors.ask(self._ref, GetService(name))
         return found
 
     def get_report(self) -> Report:
-        """Returns what the control daemon is to be told."""
+        """Returns the router's part of its report to the control daemon."""
         report: Report = actors.ask(self._ref, GetReport())
         return report
 
