--- a/egretspur/routing/graph.py
+++ b/egretspur/routing/graph.py
@@ -2,9 +2,9 @@
 
 Vertices are layer boundaries, edges are stages. A path from layer 0 to the
 last layer covers the model once, in order; it may join stages of different
-chains where their boundaries meet. Work per choice grows with the stages and
-hardly with the replicas: at each boundary a few stages are sampled by speed,
-and the cheapest is kept.
+chains where their boundaries meet. At each boundary a few stages are sampled
+in proportion to their speed and the cheapest is kept, so the cost of a choice
+grows with the stages of a path and hardly with the replicas.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from egretspur.intents import records
 from egretspur.routing import loads
 
-# Stages sampled at each boundary, and whole paths compared. Two of each get
+# Stages sampled at each boundary, and complete paths compared. Two of each give
 # most of the gain over random choice; see docs/design/routing.md.
 SAMPLES: Final = 2
 PATHS: Final = 2
 
-# Draws at a boundary before giving up on a free stage by luck and looking at
-# all; keeps a nearly full data centre from refusing while a slot is free.
+# Random draws at a boundary before all its stages are searched. The full search
+# keeps a nearly full data centre from refusing while a slot is free.
 DRAWS: Final = 6
 
 
@@ -42,17 +42,17 @@
 
 @attrs.frozen
 class Path:
-    """Stages chosen for an attempt."""
+    """The stages chosen for an attempt."""
 
     edges: tuple[Edge, ...]
-    # Deployment the stages belong to, for the caller's trace.
+    # Id of the deployment, shown in the caller's trace.
     label: str
 
 
 @attrs.define
 class _Boundary:
     edges: list[Edge]
-    # Running sums of the speeds, for sampling in proportion.
+    # Cumulative sums of the speeds, for weighted sampling.
     sums: list[float]
 
 
@@ -70,11 +70,11 @@
         """Builds the graph.
 
         Args:
-            label: Name shown to callers.
-            layers: Layers of the model.
-            deployments: Their chains give the stages.
+            label: Id of the deployment, shown to callers.
+            layers: Number of layers of the model.
+            deployments: Deployments whose chains give the stages.
             speeds: Layers per second by upstream.
-            is_usable: Tells whether an upstream may be given work.
+            is_usable: Returns whether an upstream may be given work.
         """
         self.label = label
         self.layers = layers
@@ -92,7 +92,7 @@
         }
         self._boundaries = _build_boundaries(edges.values(), layers)
         self.size = sum(len(b.edges) for b in self._boundaries.values())
-        # Upstreams that requests may be sent to.
+        # Upstreams of last stages, to which hosts send requests.
         self.last = frozenset(
             e.upstream
             for b in self._boundaries.values()
@@ -101,7 +101,7 @@
         )
 
     def sample(self, boundary: int, rng: random.Random) -> Edge | None:
-        """Returns a stage that begins at a boundary, in proportion to speed."""
+        """Returns a random stage at a boundary, weighted by speed."""
         found = self._boundaries.get(boundary)
         if found is None:
             return None
@@ -116,13 +116,13 @@
 
 @attrs.frozen
 class Known:
-    """What a choice looks at besides the graph."""
+    """Loads, links and availability that a choice depends on."""
 
     upstreams: Mapping[str, loads.UpstreamLoad]
     links: Mapping[tuple[str, str], loads.LinkSpeed]
     now_s: float
-    # Upstreams that take no request now. Requests are sent to a path's last
-    # stage; the others get them from there.
+    # Upstreams at a rate limit or in a backoff. They are excluded only as last
+    # stages, which receive the requests and forward them to the others.
     closed: frozenset[str] = frozenset()
 
 
@@ -132,13 +132,13 @@
     rng: random.Random,
     avoid: frozenset[str] = frozenset(),
 ) -> Path | None:
-    """Returns the cheapest of a few sampled paths; None if none is free.
+    """Returns the cheapest of a few sampled paths, or None if none is free.
 
     Args:
         graph: Stages to choose from.
-        known: Loads and links.
-        rng: For the samples.
-        avoid: Upstreams that failed this request before.
+        known: Loads, links and availability of the upstreams.
+        rng: Source of the random samples.
+        avoid: Upstreams to exclude, which failed this request or back off.
     """
     best: tuple[Edge, ...] | None = None
     best_cost = 0.0
@@ -153,10 +153,10 @@
 
 
 def compute_cost(edges: tuple[Edge, ...], known: Known) -> float:
-    """Returns the expected seconds per token of a path, relatively.
+    """Returns the relative expected seconds per token of a path.
 
-    The slowest part counts: a stage by the requests it would share its speed
-    with, a link by how slow it has looked of late.
+    This is the cost of its slowest stage: the stage's time per token, scaled
+    by the requests that share it and by the recent slowness of its link.
     """
     cost = 0.0
     previous = ""
@@ -234,7 +234,7 @@
     known: Known,
     avoid: frozenset[str],
 ) -> Edge | None:
-    """Returns the cheapest open stage of all; only when luck found none."""
+    """Returns the cheapest available stage, searching all at a boundary."""
     return min(
         (
             e
@@ -260,10 +260,10 @@
 def _build_boundaries(
     edges: Iterable[Edge], layers: int
 ) -> dict[int, _Boundary]:
-    """Keeps only stages that lie on some whole path.
+    """Returns boundaries with only the stages from which a path can complete.
 
-    A stage whose only successors are down would otherwise be sampled, and the
-    walk would end at a boundary with no way on.
+    Otherwise a stage whose only successors are down could be sampled, and the
+    search would end at a boundary without stages.
     """
     by_first: dict[int, list[Edge]] = {}
     for edge in sorted(edges, key=lambda e: (e.first, e.upstream)):
