--- a/egretspur/routing/loads.py
+++ b/egretspur/routing/loads.py
@@ -1,8 +1,9 @@
-"""What a router knows of each upstream's load, health and links: pure.
+"""A router's estimate of each upstream's load, health and links: pure.
 
-Load reports lag: an upstream's load is what it last reported of others, fading
-with time, plus what this router itself has in flight. Fading is safe because a
-wrong guess costs one refusal, which carries a fresh report.
+Load reports lag. An upstream's load is estimated as the requests of other
+routers at its last report, decaying with time, plus this router's requests in
+flight. Decay is safe because a wrong estimate costs one refusal, which carries
+a fresh report.
 """
 
 from __future__ import annotations
@@ -14,29 +15,30 @@
 
 import attrs
 
-# Seconds after which a report of others' load counts 1/e.
+# Time constant with which reported load of other routers decays to 1/e.
 FADE_S: Final = 2.0
 
-# Pause after a failure; doubles with each failure in a row up to the longest.
+# Backoff after a failure; doubles with each failure in a row up to the maximum.
 FIRST_PAUSE_S: Final = 1.0
 LONGEST_PAUSE_S: Final = 15.0
 
-# Seconds over which an upstream that came back gets its full share again.
-# Without a ramp every router prefers the one idle upstream at once, and the
-# herd knocks it over a second time.
+# Time over which a recovered upstream returns to its full share of work.
+# Without this ramp all routers prefer the one idle upstream at once, and the
+# thundering herd overloads it again.
 RAMP_S: Final = 4.0
 
-# Smallest share during the ramp.
+# Share of work at the start of the ramp.
 RAMP_START: Final = 0.1
 
-# Unattributed failures in a row that count as one of the upstream's own.
+# Unattributed failures in a row that count as a failure of the upstream.
 STRIKES: Final = 2
 
-# A link that looks slow is forgiven over this many seconds, so that it is
-# tried again and gets its work back.
+# Time constant with which a link's slowness decays, so that a slow link is
+# tried again and regains its work.
 FORGIVE_S: Final = 4.0
 
-# Slowest factor remembered; one slow sample can't shut out a link for long.
+# Upper bound on a link's slowness, so that one slow sample can't exclude it for
+# long.
 MAX_SLOWNESS: Final = 50.0
 
 
@@ -44,9 +46,9 @@
     """Whether an upstream may be given work."""
 
     UP = "up"
-    # Failed; not before `UpstreamLoad.retry_at_s`.
+    # Failed; not probed before `UpstreamLoad.retry_at_s`.
     DOWN = "down"
-    # One request is trying it out.
+    # One request probes it.
     PROBING = "probing"
 
 
@@ -57,33 +59,33 @@
     slots: int
     # Requests of this router in flight.
     own: int = 0
-    # Requests of others at the last report.
+    # Requests of other routers at the last report.
     others: float = 0.0
     reported_at_s: float = 0.0
     health: Health = Health.UP
     failures: int = 0
     strikes: int = 0
     retry_at_s: float = 0.0
-    # Monotonic time at which it came back; for the ramp.
+    # Monotonic time of its recovery; start of the ramp.
     back_at_s: float = -math.inf
 
     def estimate(self, now_s: float) -> float:
-        """Returns the requests it probably works on."""
+        """Returns the estimated number of requests that it runs."""
         age = now_s - self.reported_at_s
         return self.own + self.others * math.exp(-age / FADE_S)
 
     def is_free(self, now_s: float) -> bool:
-        """Tells whether it probably has a slot for one more request."""
+        """Returns whether it is estimated to have a free slot."""
         if self.health is Health.PROBING:
             return self.own == 0
-        # A whole slot must be free by the estimate. Were any part of one
-        # enough, a report of a full upstream would count as faded a moment
-        # later, and every waiting request would be refused by it again and
-        # again: measured, 23 attempts a request at three times the load.
+        # A whole slot must be free by the estimate. If a fraction sufficed, a
+        # full upstream would look free as soon as its report decayed a little,
+        # and would refuse each waiting request repeatedly: 23 attempts a
+        # request at three times the load.
         return not self.slots or self.estimate(now_s) + 1.0 <= self.slots
 
     def get_share(self, now_s: float) -> float:
-        """Returns the part of its usual work it may be given, to 1."""
+        """Returns the share of its usual work that it may be given, up to 1."""
         if self.health is not Health.UP:
             return RAMP_START
         age = now_s - self.back_at_s
@@ -93,13 +95,13 @@
 
 
 def note_report(load: UpstreamLoad, total: int, now_s: float) -> None:
-    """Takes an upstream's report of all requests it works on."""
+    """Records an upstream's report of all requests that it runs."""
     load.others = max(0, total - load.own)
     load.reported_at_s = now_s
 
 
 def note_full(load: UpstreamLoad, now_s: float) -> None:
-    """Takes an upstream's refusal because it was busy."""
+    """Records that an upstream refused a request as busy."""
     load.others = max(0, max(load.slots, 1) - load.own)
     load.reported_at_s = now_s
 
@@ -107,16 +109,16 @@
 def note_failure(
     load: UpstreamLoad, now_s: float, rng: random.Random, sure: bool
 ) -> bool:
-    """Takes a failure.
+    """Records a failure.
 
     Args:
-        load: Changed in place.
+        load: Load of the upstream, changed in place.
         now_s: Monotonic time.
-        rng: For the spread of the pause.
+        rng: Source of the backoff's jitter.
         sure: False if another stage of the chain may be at fault.
 
     Returns:
-        True if the upstream is down from now on and was not before.
+        True if the upstream was up and is down now.
     """
     if not sure:
         load.strikes += 1
@@ -127,14 +129,14 @@
     load.health = Health.DOWN
     load.failures += 1
     pause = min(FIRST_PAUSE_S * 2 ** (load.failures - 1), LONGEST_PAUSE_S)
-    # Spread widely: routers that saw the failure together must not all try
-    # the upstream again in the same moment.
+    # The wide jitter keeps routers that saw the failure together from probing
+    # the upstream at the same moment.
     load.retry_at_s = now_s + pause * rng.uniform(0.5, 1.5)
     return was_up
 
 
 def note_success(load: UpstreamLoad, now_s: float) -> bool:
-    """Takes a proof of life; tells whether the upstream came back by it."""
+    """Records a sign of life; returns whether the upstream recovered by it."""
     load.strikes = 0
     if load.health is Health.UP:
         return False
@@ -145,31 +147,31 @@
 
 
 def is_probe_due(load: UpstreamLoad, now_s: float) -> bool:
-    """Tells whether one request may try out an upstream that is down."""
+    """Returns whether one request may probe an upstream that is down."""
     return load.health is Health.DOWN and now_s >= load.retry_at_s
 
 
 @attrs.define
 class LinkSpeed:
-    """How slow the way between two stages looks, against its best."""
+    """Observed slowness of the link between two stages, against its best."""
 
-    # Seconds per token at its best, drifting up slowly.
+    # Best time per token, in seconds; drifts up with each slower sample.
     best_s: float = math.inf
     slowness: float = 1.0
     seen_at_s: float = 0.0
 
     def get_slowness(self, now_s: float) -> float:
-        """Returns the factor by which it looks slow, forgiven with time."""
+        """Returns the slowness factor, which decays to 1 with time."""
         age = now_s - self.seen_at_s
         return 1.0 + (self.slowness - 1.0) * math.exp(-age / FORGIVE_S)
 
 
 def note_speed(link: LinkSpeed, token_s: float, now_s: float) -> None:
-    """Takes the time per token of a stream that went over a link.
+    """Records the time per token of a stream that used a link.
 
-    A stream is slow if any part of its way is. A fast one clears all parts at
-    once; a slow one raises its parts only step by step, so that parts shared
-    with fast streams stay clear and the slow one stands out.
+    A stream is slow if any link of its path is. A fast stream lowers the
+    slowness of all its links at once; a slow one raises it step by step, so
+    that links shared with fast streams stay low and only the slow link rises.
     """
     link.best_s = min(link.best_s * 1.01, token_s)
     factor = min(token_s / link.best_s, MAX_SLOWNESS)
--- a/egretspur/routing/network.py
+++ b/egretspur/routing/network.py
@@ -1,8 +1,8 @@
-"""What one router knows of upstreams, and the graphs made of it: pure.
+"""One router's view of the upstreams, and its routing graphs: pure.
 
-Tables from the control daemon, marks of upstreams that leave, loads and speeds
-that were seen. Graphs are built anew when an upstream comes or goes. Read next:
-`egretspur.routing.dispatch`.
+Holds the tables from the control daemon, the upstreams marked as leaving, and
+the observed loads and speeds. The graphs are rebuilt when an upstream becomes
+usable or unusable. Read next: `egretspur.routing.dispatch`.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from egretspur.routing import graph as graphs
 from egretspur.routing import loads, requests, tables
 
-# A marked incarnation is remembered this long; far above the platform's lag.
+# Retention of a leaving mark; far above the lag of the platform's list.
 LEAVING_KEPT_S: Final = 3600.0
 
 
-# Between an upstream and its incarnation in the name of a start.
+# Separates an upstream's name from its incarnation in an incarnation id.
 START_MARK: Final = "@"
 
 
 class Network:
-    """Upstreams, chains and bindings as one router sees them."""
+    """Upstreams, deployments and bindings as one router sees them."""
 
     def __init__(self, data_centre: str, rng: random.Random) -> None:
         self._data_centre = data_centre
         self._rng = rng
         self.loads: dict[str, loads.UpstreamLoad] = {}
         self.links: dict[tuple[str, str], loads.LinkSpeed] = {}
-        # Offset of the table in force; 0 before the first.
+        # Offset of the table in force; 0 before the first table.
         self.offset = 0
-        # Incarnations that leave, by upstream, with the time of the mark.
+        # Leaving incarnations by upstream, with the time of the mark.
         self.leaving: dict[str, dict[str, float]] = {}
-        # Starts that asked this router for rest, and until when.
+        # Deadlines of the backoffs that incarnations asked of this router.
         self._backoffs: dict[str, float] = {}
         self.upstreams: dict[str, tables.Upstream] = {}
         self.deployments: dict[str, records.Deployment] = {}
@@ -44,13 +44,16 @@
         self.graphs: dict[str, graphs.Graph] = {}
 
     def take_table(self, table: tables.RoutingTable) -> bool:
-        """Puts a table in force; False if a newer one is.
+        """Puts a table in force unless a newer one is.
 
-        The graphs are those of the former one until `rebuild`.
+        The graphs stay unchanged until `rebuild`.
+
+        Returns:
+            False if the table is older than the one in force.
         """
         if table.offset < self.offset:
-            # A control daemon that just started may know less than this
-            # router already has in force; going back would revert a change.
+            # A control daemon that just started may have older state than
+            # this router; applying it would revert a change.
             return False
         self.offset = table.offset
         self.deployments = {d.id: d for d in table.deployments}
@@ -79,14 +82,14 @@
     def mark_leaving(
         self, marks: Mapping[str, Iterable[str]], now_s: float
     ) -> None:
-        """Takes incarnations that leave, by upstream."""
+        """Marks incarnations as leaving, given by upstream."""
         for name, incarnations in marks.items():
             for incarnation in incarnations:
                 known = self.leaving.setdefault(name, {})
                 known.setdefault(incarnation, now_s)
 
     def note_leaving(self, name: str, now_s: float) -> bool:
-        """Takes an upstream's own word that it leaves; tells whether new."""
+        """Marks an upstream that reports leaving; returns whether it is new."""
         incarnation = self.upstreams[name].incarnation
         marks = self.leaving.setdefault(name, {})
         if incarnation in marks:
@@ -96,31 +99,31 @@
         return True
 
     def forget_marks(self, now_s: float) -> None:
-        """Drops marks that are so old that the incarnation is gone."""
+        """Drops expired marks, whose incarnations are gone by then."""
         for name, marks in list(self.leaving.items()):
             self.leaving[name] = {
                 i: t for i, t in marks.items() if now_s - t < LEAVING_KEPT_S
             }
 
     def name_start(self, name: str) -> str:
-        """Returns the name of an upstream's present start."""
+        """Returns the id of an upstream's current incarnation."""
         upstream = self.upstreams.get(name)
         return f"{name}{START_MARK}{upstream.incarnation if upstream else ''}"
 
     def note_backoff(self, name: str, backoff_s: float, now_s: float) -> None:
-        """Takes that an upstream wants nothing from this router for a while."""
+        """Records that an upstream asked this router to back off."""
         self._backoffs = {i: t for i, t in self._backoffs.items() if now_s < t}
         start = self.name_start(name)
         until_s = max(now_s + backoff_s, self._backoffs.get(start, 0.0))
         self._backoffs[start] = until_s
 
     def get_backoff_s(self, name: str, now_s: float) -> float:
-        """Returns how long an upstream still backoffs, in seconds."""
+        """Returns the rest of an upstream's backoff, in seconds."""
         until_s = self._backoffs.get(self.name_start(name), now_s)
         return max(0.0, until_s - now_s)
 
     def list_backing_off(self, now_s: float) -> frozenset[str]:
-        """Returns the upstreams that rest."""
+        """Returns the upstreams with a backoff."""
         if not self._backoffs:
             return frozenset()
         return frozenset(
@@ -128,9 +131,10 @@
         )
 
     def look_at(self, start: str) -> quarantine.State:
-        """Returns what is known of an upstream's start after a cut.
+        """Returns whether an incarnation has ended, for a cut attempt.
 
-        It is not asked; the list tells of another start some seconds later.
+        The upstream is not probed: the platform's list shows its next
+        incarnation some seconds later.
         """
         name = start.rpartition(START_MARK)[0]
         if name not in self.upstreams or self.name_start(name) != start:
@@ -138,7 +142,7 @@
         return quarantine.State.UNKNOWN
 
     def list_usable(self, service: str) -> list[tables.Upstream]:
-        """Returns a plain service's replicas that may be given a call."""
+        """Returns the usable replicas of a plain service."""
         return [
             u
             for u in self.upstreams.values()
@@ -146,10 +150,10 @@
         ]
 
     def begin_probes(self, routers: int, now_s: float) -> None:
-        """Lets a request through to upstreams that were down for long enough.
+        """Lets one request probe each upstream that was down long enough.
 
-        Spread over the routers: each lets one begin with a chance that makes
-        about one in all routers a second.
+        Each router begins a probe with a probability such that all routers
+        together begin about one a second.
         """
         probing = False
         for load in self.loads.values():
@@ -162,7 +166,7 @@
             self.rebuild()
 
     def note_result(self, name: str, is_ok: bool, now_s: float) -> None:
-        """Learns from a plain service's answer or its absence."""
+        """Records whether a plain service's replica answered."""
         load = self.loads.get(name)
         if load is None:
             return
@@ -176,7 +180,7 @@
     def note_tokens(
         self, path: graphs.Path, message: requests.Progress, now_s: float
     ) -> None:
-        """Learns from tokens that came over a path."""
+        """Records tokens received over a path."""
         previous = ""
         changed = False
         token_s = message.seconds / max(1, message.tokens)
@@ -199,7 +203,10 @@
         failure: requests.Failure,
         now_s: float,
     ) -> None:
-        """Learns from a failed attempt which upstreams to avoid."""
+        """Records a failed attempt against the upstreams that may have failed.
+
+        The request avoids these upstreams in its later attempts.
+        """
         changed = False
         if failure.leaving and failure.leaving in self.upstreams:
             ticket.failed.add(failure.leaving)
@@ -233,7 +240,7 @@
         return self.loads[name].health is not loads.Health.DOWN
 
     def rebuild(self) -> None:
-        """Builds the graphs anew; called when an upstream comes or goes."""
+        """Rebuilds the graphs after a change of the usable upstreams."""
         speeds = {n: u.layers_per_s for n, u in self.upstreams.items()}
         built: dict[str, graphs.Graph] = {}
         for binding in self.bindings.values():
@@ -260,5 +267,5 @@
 
 
 def make_graph_key(binding: records.Binding) -> str:
-    """Returns the name of the graph a binding's requests go through."""
+    """Returns the key of the graph that a binding's requests use."""
     return "+".join(binding.deployments)
