--- a/egretspur/routing/availability.py
+++ b/egretspur/routing/availability.py
@@ -1,7 +1,7 @@
-"""What upstreams ask of one router in their answers, and who takes work: pure.
+"""Availability of upstreams by the signals in their answers: pure.
 
-Limits of requests a second, rest, and an upstream's own word that it leaves.
-All of it is kept by starts of upstreams; see `network.Network.name_start`. Read
+An upstream may ask a router for a rate limit or a backoff, or report that it is
+leaving. Signals are kept by incarnation; see `network.Network.name_start`. Read
 next: `egretspur.admission.throttle`, `egretspur.routing.dispatch`.
 """
 
@@ -18,17 +18,17 @@
 
 
 class Availability:
-    """See the module's docstring."""
+    """Signals of upstreams to one router; see the module's docstring."""
 
     def __init__(
         self, data_centre: str, network: networks.Network, rng: random.Random
     ) -> None:
-        """Makes a state in which no upstream has asked for anything.
+        """Creates a state without signals.
 
         Args:
-            data_centre: Of this router.
-            network: The upstreams, with their backoffs and marks of leaving.
-            rng: Draws first turns.
+            data_centre: Data centre of this router.
+            network: The upstreams, with their backoffs and leaving marks.
+            rng: Source of random times for the first send to an upstream.
         """
         self.throttle = throttle.Throttle(data_centre, rng)
         self._network = network
@@ -37,10 +37,10 @@
     def note_signals(
         self, name: str, answer: signals.Signals, now_s: float
     ) -> bool:
-        """Takes what an upstream asked of the hosts beside an answer.
+        """Applies the signals of an upstream's answer.
 
         Returns:
-            Whether the other hosts are to be told.
+            Whether to notify the other hosts.
         """
         for value in (answer.per_s, answer.backoff_s):
             if isinstance(value, signals.Unreadable):
@@ -60,7 +60,7 @@
         return is_new
 
     def hear(self, message: tables.RoutingUpdate, now_s: float) -> None:
-        """Takes limits that other hosts were told by upstreams."""
+        """Applies the limits and host count of a control daemon's update."""
         self.throttle.demand.hosts = max(1, message.listed, message.sharing)
         listed = {self._network.name_start(n) for n in self._network.upstreams}
         for start, told in message.limits.items():
@@ -73,13 +73,17 @@
         self.throttle.forget(listed)
 
     def is_open(self, name: str, now_s: float) -> bool:
-        """Tells whether an upstream takes a request of this router now."""
+        """Returns whether an upstream accepts a request of this router now."""
         return not self._network.get_backoff_s(
             name, now_s
         ) and self.throttle.is_open(self._network.name_start(name), now_s)
 
     def list_closed(self, now_s: float) -> frozenset[str]:
-        """Returns the upstreams that take none, where any has a limit."""
+        """Returns the upstreams that accept no request now.
+
+        Empty if no upstream has a rate limit; `Network.list_backing_off` has
+        the backoffs.
+        """
         if not self.throttle.limited:
             return frozenset()
         return frozenset(
@@ -87,11 +91,11 @@
         )
 
     def take(self, name: str, now_s: float) -> None:
-        """Counts a request that is sent to an upstream."""
+        """Counts a request sent to an upstream against its limit."""
         self.throttle.take(self._network.name_start(name), now_s)
 
     def take_turn(self, name: str, now_s: float) -> bool:
-        """Takes a turn at a plain service's replica, if it takes a call now."""
+        """Acquires a permit if a plain service's replica accepts a call now."""
         if not self.is_open(name, now_s):
             return False
         self.take(name, now_s)
@@ -100,9 +104,9 @@
     def promise_turn(
         self, service: str, names: Collection[str], now_s: float
     ) -> float:
-        """Returns when a call may come back that none of these took.
+        """Returns the seconds after which a caller refused by all may retry.
 
-        In seconds; 0 where they take calls again by now.
+        0 if one of these replicas accepts calls again.
         """
         opening = self.find_opening(names, now_s)
         if opening is None:
@@ -112,9 +116,9 @@
     def find_opening(
         self, names: Collection[str], now_s: float
     ) -> throttle.Opening | None:
-        """Returns when one of these upstreams takes more.
+        """Returns when one of these upstreams accepts more requests.
 
-        None where one is held back by neither a limit nor a rest.
+        None unless all of them are in a backoff or all have a limit.
         """
         backoff_s = min(
             (self._network.get_backoff_s(n, now_s) for n in names), default=0.0
@@ -129,7 +133,10 @@
     def promise(
         self, key: str, opening: throttle.Opening, waiting: int, now_s: float
     ) -> float:
-        """Returns when one more caller may come back; see `returns.Returns`."""
+        """Returns the seconds until one more caller retries.
+
+        See `returns.Returns`.
+        """
         return self._returns.promise(key, opening, waiting, now_s)
 
     def _note_unreadable(self, name: str, value: signals.Unreadable) -> None:
--- a/egretspur/routing/shares.py
+++ b/egretspur/routing/shares.py
@@ -1,8 +1,8 @@
-"""A router's part of each workspace's limit, as the queue needs it: pure.
+"""A router's share of each workspace's limit: pure.
 
-Out of the dispatcher: what other hosts want, since when this one wants more
-than an even part, and whether a waiting request is held back. How a limit is
-divided stands in `egretspur.admission.limits`.
+Tracks the demand of the other hosts and since when this one exceeds an even
+share, and checks whether a waiting request may start under the limit. Read
+next: `egretspur.admission.limits`, which divides a limit.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 @attrs.define
 class WorkspaceShares:
-    """What one router knows for dividing limits."""
+    """Inputs with which one router divides the limits."""
 
-    # This router's host.
+    # Name of this router's host.
     name: str
-    # Seconds of wanting more than an even part before more may be taken.
+    # Time for which demand must exceed an even share before more is granted.
     settle_s: float
-    # News older than this is none, in seconds.
+    # Age after which other hosts' demand is ignored.
     news_s: float
-    # Data centres that each limit is divided by, by key.
+    # Number of data centres that share a limit, by binding key.
     divisors: Mapping[str, int] = attrs.Factory(dict)
-    # Requests at once by key and host.
+    # Running and waiting requests by binding key and host.
     demand: Mapping[str, Mapping[str, int]] = attrs.Factory(dict)
-    # Routers in the data centre by the platform's list.
+    # Number of routers in the data centre, by the platform's list.
     listed: int = 1
     informed_at_s: float = -1e9
-    # Since when a workspace wants more than an even share, by key.
+    # Monotonic time since which demand exceeds an even share, by binding key.
     _wanting_since_s: dict[str, float] = attrs.Factory(dict)
 
     def note(
         self, demand: Mapping[str, Mapping[str, int]], listed: int, now_s: float
     ) -> None:
-        """Takes news of the other routers."""
+        """Applies an update on the other routers."""
         self.demand = demand
         self.listed = max(1, listed)
         self.informed_at_s = now_s
@@ -46,12 +46,12 @@
     def compute(
         self, key: str, binding: records.Binding, wanted: int, now_s: float
     ) -> int:
-        """Returns how many requests of a workspace may run here at once.
+        """Returns how many requests of a workspace may run here concurrently.
 
         Args:
-            key: Of the workspace and model.
-            binding: With the limit.
-            wanted: Requests that run or wait here, and the one asked about.
+            key: Binding key of the workspace and model.
+            binding: Binding with the limit.
+            wanted: Running and waiting requests here, plus one new request.
             now_s: Monotonic time.
         """
         limit = max(1, binding.limit // self.divisors.get(key, 1))
@@ -68,7 +68,7 @@
     def _is_settled(
         self, key: str, wanted: int, limit: int, now_s: float
     ) -> bool:
-        """Tells whether a workspace has wanted more than its part for long."""
+        """Returns whether demand has exceeded an even share for `settle_s`."""
         if wanted * self.listed <= limit:
             self._wanting_since_s.pop(key, None)
             return False
@@ -78,21 +78,20 @@
 
 @attrs.define
 class Hold:
-    """Which waiting requests a limit holds back, in one pass over the queue.
+    """Check of workspace limits during one pass over the queue.
 
-    A share is worked out once for each workspace and pass: starting a request
-    moves it from the waiting to the running ones and leaves their sum, which
-    is all that the share depends on.
+    Each share is computed once a pass: it depends on the sum of running and
+    waiting requests, which does not change when a waiting request starts.
     """
 
-    # Returns a key's share here, or None if it has no limit.
+    # Returns a binding key's share here, or None if it has no limit.
     compute_share: Callable[[str], int | None]
-    # Running requests by key; changes while requests are started.
+    # Running requests by binding key; updated as requests start.
     running: Mapping[str, int]
     _shares: dict[str, int | None] = attrs.Factory(dict)
 
     def is_held(self, key: str) -> bool:
-        """Tells whether a workspace is at its limit here."""
+        """Returns whether a workspace has reached its share here."""
         if key not in self._shares:
             self._shares[key] = self.compute_share(key)
         share = self._shares[key]
--- a/egretspur/routing/tables.py
+++ b/egretspur/routing/tables.py
@@ -1,8 +1,8 @@
 """Messages between a router and the control daemon of its host.
 
-The router holds one request open at the daemon; the answer comes as soon as
-anything changed. A router keeps serving from its last table while the daemon
-is away.
+The router keeps one long-poll request open at the daemon, which answers as soon
+as anything changed. While the daemon is unreachable, the router keeps serving
+from its last table.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     data_centre: str
     # True if the platform lists it as leaving.
     leaving: bool
-    # Name of the plain service; empty for engines.
+    # Name of its plain service; empty for engines.
     service: str
     layers_per_s: float
     slots: int
@@ -41,7 +41,7 @@
     offset: int
     deployments: tuple[records.Deployment, ...]
     bindings: tuple[records.Binding, ...]
-    # Data centres each binding's limit is divided by, by binding key.
+    # Number of data centres that share a binding's limit, by binding key.
     shares: dict[str, int]
     upstreams: tuple[Upstream, ...]
 
@@ -58,31 +58,30 @@
 class RoutingUpdate:
     """Answer to a router's report."""
 
-    # Number of the answer's content; equal numbers of one daemon mean equal
-    # contents.
+    # Version of the content; equal versions of one daemon have equal contents.
     version: int
-    # None if the router already has this version's table.
+    # None if the router already has the table of `table_version`.
     table: RoutingTable | None
     table_version: int
     # Leaving incarnations by upstream.
     leaving: dict[str, tuple[str, ...]]
-    # Requests at once by workspace, at each other host.
+    # Running and waiting requests by binding key and other host.
     demand: dict[str, dict[str, int]]
     routers: tuple[RouterNode, ...]
-    # Entry hosts of the data centre by the platform's list.
+    # Number of entry hosts in the data centre, by the platform's list.
     listed: int
-    # Upstreams that ended under requests, by fingerprint; none where it was
-    # answered.
+    # Crashed upstreams by request fingerprint; empty for a request that was
+    # answered or released.
     ended: dict[str, dict[str, float]] = attrs.Factory(dict)
-    # Limits that upstreams named, or name no more, by their start.
+    # Rate limits that upstreams set or lifted, by incarnation.
     limits: dict[str, throttle.Told] = attrs.Factory(dict)
-    # Entry hosts of all data centres, which may share an upstream.
+    # Number of entry hosts in all data centres, which may share an upstream.
     sharing: int = 1
 
 
 @attrs.frozen
 class LeavingMark:
-    """An incarnation of an upstream that said it is leaving."""
+    """An incarnation of an upstream that reported that it is leaving."""
 
     upstream: str
     incarnation: str
@@ -90,10 +89,10 @@
 
 @attrs.frozen
 class RouterReport:
-    """What a router tells its control daemon."""
+    """A router's report to its control daemon."""
 
     address: str
-    # Version of the last answer, 0 at first.
+    # Version of the last answer; 0 before the first.
     version: int
     table_version: int
     # Offset of the table it routes by.
@@ -112,8 +111,8 @@
 ) -> RoutingTable:
     """Returns the table for routers of a data centre.
 
-    Deployments of other data centres are left out wherever the binding has
-    one here, so that a table grows with its data centre and not the world.
+    Deployments of other data centres are omitted if the binding has one here,
+    so that a table grows with its own data centre only.
     """
     chosen: dict[str, records.Deployment] = {}
     shares = {}
