--- a/egretspur/routing/link.py
+++ b/egretspur/routing/link.py
@@ -1,6 +1,7 @@
-"""The router's standing request to the control daemon of its host.
+"""The router's long poll of the control daemon of its host.
 
-While the daemon is away the router serves by its last table.
+While the daemon is unreachable, the router keeps serving from its last table.
+Read next: `egretspur.routing.tables`.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Longest time the daemon holds a report before it answers.
+# Upper bound on the time that the daemon holds a report before it answers.
 WAIT_S: Final = 1.0
 
-# Pause after a report that was not answered.
+# Delay after a report that was not answered.
 PAUSE_S: Final = 0.25
 
 
 class Link:
-    """Reports to the control daemon and takes its updates."""
+    """Reports to the control daemon and applies its updates."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         )
 
     def start(self, address: str) -> None:
-        """Starts to report; `address` is this router's own."""
+        """Starts reporting; `address` is this router's own address."""
         self.address = address
         self._thread.start()
 
@@ -55,7 +56,7 @@
         self._transport.close()
 
     def report_now(self) -> None:
-        """Sends a report besides the standing one, for urgent marks."""
+        """Sends an urgent report in addition to the pending long poll."""
         threading.Thread(
             target=self._send, args=(0,), name="mark", daemon=True
         ).start()
@@ -91,5 +92,5 @@
         try:
             return codec.load(res.body, tables.RoutingUpdate)
         except codec.DecodeError as exc:
-            _LOG.error("update is malformed: %s", exc)
+            _LOG.error("malformed update from the control daemon: %s", exc)
             return None
--- a/egretspur/routing/requests.py
+++ b/egretspur/routing/requests.py
@@ -1,4 +1,4 @@
-"""Messages and effects of the `Dispatcher`, and what it keeps of a request."""
+"""Messages and effects of the `Dispatcher`, and its state of a request."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
     id: str
     workspace: str
     model: str
-    # The same for the same request under another id, at any router.
+    # Equal for repeats of a request under other ids, at all routers.
     fingerprint: str = ""
 
 
 @attrs.frozen
 class Failure:
-    """An attempt that ended without the whole answer."""
+    """An attempt that ended without a complete answer."""
 
     id: str
     reason: str
-    # Upstreams known to be at fault; empty if any of the path could be.
+    # Upstreams known to be at fault; empty if any on the path may be.
     blamed: tuple[str, ...]
-    # The engine refused it as busy and has not started it.
+    # The engine refused it as busy and did not start it.
     busy: bool
-    # Upstream that said it is leaving; empty if none did.
+    # Upstream that reported that it is leaving; empty if none did.
     leaving: str
     # False only if no engine can have started it.
     maybe_started: bool
     # Tokens already delivered to the caller.
     delivered: int
-    # Its connection broke or fell silent, so a stage of it may have ended.
+    # Its connection broke or timed out, so an upstream of it may have crashed.
     is_cut: bool = False
-    # It brought tokens itself.
+    # This attempt itself returned tokens.
     has_brought: bool = False
 
 
 @attrs.frozen
 class Progress:
-    """Tokens that came over a path; also a proof of life of its stages."""
+    """Tokens received over a path; also a sign of life of its stages."""
 
     id: str
     tokens: int
     seconds: float
-    # Requests the last stage works on, or -1 if it has not said.
+    # Requests that the last stage runs; -1 if it has not reported.
     load: int
 
 
@@ -78,20 +78,20 @@
     priority: int
     attempts: int = 0
     busy_tries: int = 0
-    # Tokens were delivered: it must be resumed, whatever the budget.
+    # Tokens were delivered, so it is resumed regardless of the retry budget.
     begun: bool = False
     maybe_started: bool = False
     path: graphs.Path | None = None
-    # Starts of the upstreams of the path; see `network.Network.name_start`.
+    # Incarnations of the path's upstreams; see `network.Network.name_start`.
     starts: tuple[str, ...] = ()
-    # Upstreams that failed it for sure, and those that may have.
+    # Upstreams that failed it, and those that may have.
     failed: set[str] = attrs.Factory(set)
     suspected: set[str] = attrs.Factory(set)
 
 
 @attrs.define
 class Counts:
-    """Totals since the start, for metrics and measurements."""
+    """Totals since the router started, for metrics and benchmarks."""
 
     arrived: int = 0
     attempts: int = 0
