--- a/tests/routing/leaving.feature
+++ b/tests/routing/leaving.feature
@@ -1,9 +1,9 @@
 Feature: A leaving upstream gets no new work
 
-  Scenario: The engine says so long before the platform's list
-    # Symptom: requests break on a host that said it was leaving. Sequence:
-    # the list lags by minutes; the engine refuses one request as leaving.
-    # Cause: routers that believe only the list.
+  Scenario: The engine reports it long before the platform's list
+    # Guards against failed requests on an engine that reported that it is
+    # leaving: routers rely only on the platform's list, which lags by minutes,
+    # and ignore that the engine refuses a request as leaving.
     Given a data centre with two chains and two entry hosts
     When engine "r1-b" says that it is leaving
     And requests run at router 1 until it has noticed
--- a/tests/routing/routers.py
+++ b/tests/routing/routers.py
@@ -1,7 +1,7 @@
-"""Routers before engines that name limits, without network or threads.
+"""Simulated routers before rate-limited engines, without network or threads.
 
-Each has the product's own `Dispatcher`; what their control daemons pass on
-comes once a second. Requests are sent to the last stage of a path.
+Each has the product's own `Dispatcher`; updates from their control daemons
+arrive once a second. Requests are sent to the last stage of a path.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @attrs.define
 class Routers:
-    """Routers of one data centre and what reaches the last stages."""
+    """Routers of one data centre, and the requests that last stages receive."""
 
     rng: random.Random
     now_s: float = 100.0
@@ -35,19 +35,19 @@
     # Times of the requests that reached each last stage.
     reached: dict[str, list[float]] = attrs.Factory(dict)
     refused: list[questions.Refuse] = attrs.Factory(list)
-    # Last stages that turn requests away, with the rest that they ask for; when
-    # they asked which router.
+    # Last stages that refuse requests, with the backoff in seconds that they
+    # ask for; then the time, stage and router of each backoff.
     away: dict[str, float] = attrs.Factory(dict)
     backoffs: list[tuple[float, str, dispatch.Dispatcher]] = attrs.Factory(list)
-    # Those that tell that they leave.
+    # Last stages that report that they are leaving.
     leaving: set[str] = attrs.Factory(set)
-    # Requests that reached one from a router within its rest.
+    # Requests that a router sent to a stage within its backoff.
     unrested: int = 0
     due: list[tuple[float, Callable[[], None]]] = attrs.Factory(list)
     count: int = 0
 
     def add(self, count: int) -> None:
-        """Starts routers."""
+        """Adds routers and updates all of them."""
         for i in range(count):
             self.routers.append(
                 dispatch.Dispatcher(
@@ -62,7 +62,7 @@
         self.update()
 
     def update(self) -> None:
-        """Gives each router what the control daemons know."""
+        """Sends each router an update with the latest state of all routers."""
         newest: dict[str, throttle.Told] = {}
         for router in self.routers:
             for start, told in router.availability.throttle.list_told(
@@ -99,7 +99,12 @@
         )
 
     def play(self, seconds: float, rate: float) -> None:
-        """Lets time pass, with so many requests a second over all routers."""
+        """Simulates a period with a rate of requests over all routers.
+
+        Args:
+            seconds: Length of the period.
+            rate: Requests a second.
+        """
         end_s = self.now_s + seconds
         next_update_s = self.now_s + UPDATE_S
         while self.now_s < end_s:
@@ -162,7 +167,13 @@
         self.due.append((self.now_s + ANSWER_S, end))
 
     def find_worst(self, name: str, since_s: float, window_s: float) -> int:
-        """Returns the most that reached a stage in a window, from then on."""
+        """Returns the most requests that reached a stage within any window.
+
+        Args:
+            name: Name of the last stage.
+            since_s: Earliest start of a window.
+            window_s: Length of a window.
+        """
         times = [t for t in self.reached[name] if t >= since_s]
         return max(
             (sum(t <= u < t + window_s for u in times) for t in times),
--- a/tests/steps/decisions_steps.py
+++ b/tests/steps/decisions_steps.py
@@ -93,8 +93,8 @@
 
 
 @given(
-    "{count:d} upstreams with {busy:d} requests each, one of which was down"
-    " and is back"
+    "{count:d} upstreams with {busy:d} requests each, one of which has just"
+    " recovered"
 )
 def step_back(context: Any, count: int, busy: int) -> None:
     context.names = [f"u{i}" for i in range(count)]
@@ -125,7 +125,7 @@
     return got
 
 
-@then("the one that is back gets at most {bound:d} of them")
+@then("the recovered one gets at most {bound:d} of them")
 def step_spared(context: Any, bound: int) -> None:
     assert context.got <= bound, context.got
 
@@ -212,8 +212,8 @@
 
 
 @then(
-    "after {seconds:d} s without news at least {bound:d} in 100 choices try"
-    " that link"
+    "after {seconds:d} s without samples at least {bound:d} in 100 choices go"
+    " over that link"
 )
 def step_forgiven(context: Any, seconds: int, bound: int) -> None:
     share = count_share(context, context.now + seconds)
@@ -221,8 +221,8 @@
 
 
 @given(
-    "an upstream that reported {others:d} others {age:d} s ago and has"
-    " {own:d} of ours"
+    "an upstream that reported {others:d} requests of others {age:d} s ago and"
+    " runs {own:d} of ours"
 )
 def step_reported(context: Any, others: int, age: int, own: int) -> None:
     context.load = loads.UpstreamLoad(SLOTS, own=own)
--- a/tests/steps/routers_steps.py
+++ b/tests/steps/routers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on routers before engines with limits."""
+"""Steps on routers before engines with rate limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 LAST = ("a2", "b2", "c2")
 
-# From when a limit is named until it holds.
+# Time from setting a limit until all routers keep to it.
 CONTACT_S = 3.0
 
 
@@ -23,14 +23,14 @@
     context.routers.play(1.0, 30.0)
 
 
-@when("the last stages of {which} are down to {per_s:g} requests a second")
+@when("the last stages of {which} set a limit of {per_s:g} requests a second")
 def step_name(context: Any, which: str, per_s: float) -> None:
     names = LAST if which == "all" else LAST[:1]
     context.routers.limits = dict.fromkeys(names, per_s)
     context.named_s = context.routers.now_s
 
 
-@when("the last stages name none any more")
+@when("the last stages lift their limits")
 def step_lift(context: Any) -> None:
     context.routers.limits = {}
 
@@ -64,29 +64,32 @@
     assert all(0.0 < r.retry_after_s <= 10.0 for r in limited)
 
 
-@then("no router takes an engine for limited")
+@then("no router treats an engine as limited")
 def step_lifted(context: Any) -> None:
     for router in context.routers.routers:
         assert not router.availability.throttle.limited
 
 
-@when("the last stage of one turns all away and asks for {rest_s:g} s of rest")
-def step_away(context: Any, rest_s: float) -> None:
-    context.routers.away = {LAST[0]: rest_s}
+@when(
+    "the last stage of one refuses all requests and asks for a backoff of"
+    " {backoff_s:g} s"
+)
+def step_away(context: Any, backoff_s: float) -> None:
+    context.routers.away = {LAST[0]: backoff_s}
 
 
-@then("no router sends it anything within its rest")
+@then("no router sends it a request within its backoff")
 def step_rested(context: Any) -> None:
     assert context.routers.backoffs
     assert not context.routers.unrested
 
 
-@when("the last stage of one tells in its answers that it leaves")
+@when("the last stage of one reports in its answers that it is leaving")
 def step_leaving(context: Any) -> None:
     context.routers.leaving = {LAST[0]}
 
 
-@then("none of its routers sends it anything in the last {seconds:g} s")
+@then("no router sends it a request in the last {seconds:g} s")
 def step_left(context: Any, seconds: float) -> None:
     play = context.routers
     assert not play.find_worst(LAST[0], play.now_s - seconds, seconds)
