--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -158,11 +158,11 @@
     """Applies the messages above to the dispatcher."""
 
     def __init__(
-        self, dispatcher: dispatch.Dispatcher, marked: Callable[[], None]
+        self, dispatcher: dispatch.Dispatcher, on_urgent: Callable[[], None]
     ) -> None:
         super().__init__()
         self._dispatcher = dispatcher
-        self._marked = marked
+        self._on_urgent = on_urgent
         self._questions: questions.Questions[requests.Grant] = (
             questions.Questions()
         )
@@ -184,7 +184,7 @@
         now = time.monotonic()
         self._questions.run(self._dispatcher.fail(message.failure, now))
         if message.failure.leaving:
-            self._marked()
+            self._on_urgent()
 
     @handle.register
     def _(self, message: Finish) -> None:
@@ -237,7 +237,7 @@
         )
         self._questions.run(effects)
         if is_new:
-            self._marked()
+            self._on_urgent()
 
     @handle.register
     def _(self, message: TakeTurn) -> bool:
@@ -297,17 +297,17 @@
     """Typed interface to the actor for request threads."""
 
     def __init__(
-        self, dispatcher: dispatch.Dispatcher, marked: Callable[[], None]
+        self, dispatcher: dispatch.Dispatcher, on_urgent: Callable[[], None]
     ) -> None:
         """Starts the actor.
 
         Args:
             dispatcher: Owned by the actor from now on.
-            marked: Called when an upstream's signal must reach the other
+            on_urgent: Called when an upstream's signal must reach the other
                 hosts at once.
         """
         self._throttle = dispatcher.availability.throttle
-        self._ref = TrafficActor.start(dispatcher, marked)
+        self._ref = TrafficActor.start(dispatcher, on_urgent)
 
     def close(self) -> None:
         """Stops the actor."""
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -30,14 +30,14 @@
 from egretspur.routing import graph as graphs
 
 # How often a request returns to the queue because its upstream was busy.
-BUSY_TRIES: Final = 20
+MAX_BUSY_REQUEUES: Final = 20
 
 # How long the cause of a cut may stay unknown: the platform's list lags by two
 # seconds, is read once a second, and reaches the router within one more.
-SETTLE_S: Final = 5.0
+CUT_CAUSE_TIMEOUT_S: Final = 5.0
 
 # Limit on the requests that crashed upstreams sent in one peer update.
-ENDED_TOLD: Final = 16
+MAX_ADVERTISED_REQUESTS: Final = 16
 
 
 class Dispatcher:
@@ -57,7 +57,7 @@
         self._retries = retries
         self._rng = rng
         self.queue = queues.Queue(limit_opts.queue_length)
-        self.quarantine = quarantines.Quarantine(SETTLE_S)
+        self.quarantine = quarantines.Quarantine(CUT_CAUSE_TIMEOUT_S)
         self.budget = budgets.Budget(retries.ratio, retries.burst)
         self.network = network.Network(data_centre, rng)
         self.availability = availability.Availability(
@@ -118,7 +118,7 @@
         ticket = self.tickets.get(failure.id)
         if ticket is None:
             return []
-        path = self._release(ticket)
+        path = self._release_path(ticket)
         ticket.begun = ticket.begun or failure.delivered > 0
         ticket.maybe_started |= failure.maybe_started or ticket.begun
         if failure.busy:
@@ -134,10 +134,10 @@
                 ),
                 now_s,
             )
-            self._settle(now_s)
+            self._count_crashes(now_s)
         if self.quarantine.is_held(ticket.arrival.fingerprint):
             return [
-                *self._refuse_held(failure.id, failure.reason, now_s),
+                *self._refuse_quarantined(failure.id, failure.reason, now_s),
                 *self._start_waiting(now_s),
             ]
         if ticket.attempts >= self._retries.attempts:
@@ -168,7 +168,7 @@
         if is_answered:
             self.quarantine.note_answered(ticket.arrival.fingerprint, now_s)
         queues.remove(self.queue, request_id)
-        if self._release(ticket) is not None:
+        if self._release_path(ticket) is not None:
             queues.note_done(self.queue, ticket.graph, now_s)
         self.counts.finished += 1
         return self._start_waiting(now_s)
@@ -187,9 +187,12 @@
         self._shares.note(message.demand, message.listed, now_s)
         self.network.rebuild()
         self.quarantine.hear(message.ended, now_s)
-        self._settle(now_s)
+        self._count_crashes(now_s)
         self.availability.hear(message, now_s)
-        return [*self._refuse_waiting(now_s), *self._start_waiting(now_s)]
+        return [
+            *self._refuse_quarantined_waiting(now_s),
+            *self._start_waiting(now_s),
+        ]
 
     def tick(self, now_s: float) -> list[requests.Effect]:
         """Refuses expired requests, begins probes and starts waiting ones."""
@@ -203,8 +206,8 @@
                 now_s,
                 retry_after_s=1.0,
             )
-        self._settle(now_s)
-        effects += self._refuse_waiting(now_s)
+        self._count_crashes(now_s)
+        effects += self._refuse_quarantined_waiting(now_s)
         self.network.forget_marks(now_s)
         self.network.begin_probes(self._shares.listed, now_s)
         return effects + self._start_waiting(now_s)
@@ -270,15 +273,15 @@
         self.quarantine.note_cut(
             quarantines.Cut(fingerprint, (start,), False, now_s), now_s
         )
-        self._settle(now_s)
+        self._count_crashes(now_s)
 
     def list_ended(self, now_s: float) -> dict[str, dict[str, float]]:
         """Returns crashed upstreams by request, for other hosts."""
-        return self.quarantine.list_told(ENDED_TOLD, now_s)
+        return self.quarantine.list_told(MAX_ADVERTISED_REQUESTS, now_s)
 
     # Decisions.
 
-    def _settle(self, now_s: float) -> None:
+    def _count_crashes(self, now_s: float) -> None:
         """Counts the upstreams that are now known to have crashed."""
         self.quarantine.settle(self.network.look_at, now_s)
         for change in self.quarantine.take_changes():
@@ -291,7 +294,7 @@
                 )
             )
 
-    def _refuse_held(
+    def _refuse_quarantined(
         self, request_id: str, reason: str, now_s: float
     ) -> list[requests.Effect]:
         """Refuses a quarantined request."""
@@ -305,33 +308,37 @@
             self.quarantine.get_retry_after_s(fingerprint),
         )
 
-    def _refuse_waiting(self, now_s: float) -> list[requests.Effect]:
+    def _refuse_quarantined_waiting(
+        self, now_s: float
+    ) -> list[requests.Effect]:
         """Refuses the waiting requests that have been quarantined."""
         return [
             effect
             for i in list(self.queue.waiting)
             if self.quarantine.is_held(self.tickets[i].arrival.fingerprint)
-            for effect in self._refuse_held(i, "waited", now_s)
+            for effect in self._refuse_quarantined(i, "waited", now_s)
         ]
 
     def _admit(
         self, ticket: requests.Ticket, now_s: float
     ) -> list[requests.Effect]:
         if self.quarantine.is_held(ticket.arrival.fingerprint):
-            return self._refuse_held(ticket.arrival.id, "known", now_s)
+            return self._refuse_quarantined(ticket.arrival.id, "known", now_s)
         item = self._make_waiting(ticket, now_s)
         graph = self.network.graphs.get(ticket.graph)
         if graph is None or not graph.size:
             if ticket.begun:
-                return self._wait_begun(ticket, item, now_s)
+                return self._requeue_begun(ticket, item, now_s)
             return self._refuse_ticket(
                 ticket.arrival.id,
                 errors.ErrorKind.NO_ROUTE,
                 "no upstreams hold all layers",
                 now_s,
             )
-        hold = self._make_hold()
-        if not self._has_rivals(item, hold) and not self._is_held(item, hold):
+        limit_check = self._make_limit_check()
+        if not self._has_eligible_waiting(
+            item, limit_check
+        ) and not self._is_at_limit(item, limit_check):
             grant = self._try_start(ticket, now_s)
             if grant is not None:
                 queues.note_start(self.queue, item.workspace)
@@ -342,9 +349,9 @@
         offered = queues.offer(self.queue, item, now_s)
         if isinstance(offered, errors.Refusal):
             if ticket.begun:
-                return self._wait_begun(ticket, item, now_s)
+                return self._requeue_begun(ticket, item, now_s)
             kind = offered.kind
-            if self._is_held(item, hold):
+            if self._is_at_limit(item, limit_check):
                 kind = errors.ErrorKind.LIMIT_REACHED
             return self._refuse_ticket(
                 item.id, kind, offered.reason, now_s, offered.retry_after_s
@@ -383,7 +390,7 @@
             self.availability.promise(item.graph, opening, waiting, now_s),
         )
 
-    def _wait_begun(
+    def _requeue_begun(
         self, ticket: requests.Ticket, item: queues.Waiting, now_s: float
     ) -> list[requests.Effect]:
         """Queues a request whose caller already has a part of the answer.
@@ -400,11 +407,12 @@
     def _start_waiting(self, now_s: float) -> list[requests.Effect]:
         effects: list[requests.Effect] = []
         stuck: set[str] = set()
-        hold = self._make_hold()
+        limit_check = self._make_limit_check()
         while self.queue.waiting:
             started = False
             for item in queues.order(
-                self.queue, lambda waiting: self._is_held(waiting, hold)
+                self.queue,
+                lambda waiting: self._is_at_limit(waiting, limit_check),
             ):
                 if item.graph in stuck:
                     continue
@@ -461,7 +469,7 @@
             self.network.deployments[graph.label],
         )
 
-    def _release(self, ticket: requests.Ticket) -> graphs.Path | None:
+    def _release_path(self, ticket: requests.Ticket) -> graphs.Path | None:
         path = ticket.path
         if path is None:
             return None
@@ -494,7 +502,7 @@
         for edge in path.edges if path else ():
             if not failure.blamed or edge.upstream in failure.blamed:
                 loads.note_full(self.network.loads[edge.upstream], now_s)
-        if ticket.busy_tries > BUSY_TRIES and not ticket.begun:
+        if ticket.busy_tries > MAX_BUSY_REQUEUES and not ticket.begun:
             return self._refuse_ticket(
                 ticket.arrival.id,
                 errors.ErrorKind.QUEUE_FULL,
@@ -545,14 +553,16 @@
         self.counts.refused += 1
         return [questions.Refuse(request_id, refusal)]
 
-    def _has_rivals(self, item: queues.Waiting, hold: shares.Hold) -> bool:
+    def _has_eligible_waiting(
+        self, item: queues.Waiting, limit_check: shares.LimitCheck
+    ) -> bool:
         """Returns whether other requests of its graph wait and may start."""
         return any(
-            w.graph == item.graph and not self._is_held(w, hold)
+            w.graph == item.graph and not self._is_at_limit(w, limit_check)
             for w in self.queue.waiting.values()
         )
 
-    def _make_hold(self) -> shares.Hold:
+    def _make_limit_check(self) -> shares.LimitCheck:
         """Returns a check of workspace limits for one pass over the queue."""
         waiting = collections.Counter(
             self.tickets[w.id].key for w in self.queue.waiting.values()
@@ -565,15 +575,17 @@
             wanted = self.running.get(key, 0) + waiting[key] + 1
             return self._shares.compute(key, binding, wanted, self._now_s)
 
-        return shares.Hold(compute_share, self.running)
+        return shares.LimitCheck(compute_share, self.running)
 
-    def _is_held(self, item: queues.Waiting, hold: shares.Hold) -> bool:
+    def _is_at_limit(
+        self, item: queues.Waiting, limit_check: shares.LimitCheck
+    ) -> bool:
         """Returns whether its workspace's limit delays a request.
 
         A request of which tokens were delivered is never delayed.
         """
         ticket = self.tickets[item.id]
-        return not ticket.begun and hold.is_held(ticket.key)
+        return not ticket.begun and limit_check.is_at_limit(ticket.key)
 
     def _make_waiting(
         self, ticket: requests.Ticket, now_s: float
--- a/egretspur/routing/graph.py
+++ b/egretspur/routing/graph.py
@@ -22,12 +22,12 @@
 
 # Stages sampled at each boundary, and complete paths compared. Two of each give
 # most of the gain over random choice; see docs/design/routing.md.
-SAMPLES: Final = 2
-PATHS: Final = 2
+STAGE_SAMPLES: Final = 2
+PATH_SAMPLES: Final = 2
 
 # Random draws at a boundary before all its stages are searched. The full search
 # keeps a nearly full data centre from refusing while a slot is free.
-DRAWS: Final = 6
+MAX_DRAWS: Final = 6
 
 
 @attrs.frozen
@@ -142,7 +142,7 @@
     """
     best: tuple[Edge, ...] | None = None
     best_cost = 0.0
-    for _ in range(PATHS):
+    for _ in range(PATH_SAMPLES):
         edges = _sample_path(graph, known, rng, avoid)
         if edges is None:
             continue
@@ -210,24 +210,24 @@
     best: Edge | None = None
     best_cost = 0.0
     found = 0
-    for _ in range(DRAWS):
+    for _ in range(MAX_DRAWS):
         edge = graph.sample(boundary, rng)
         if edge is None:
             return None
-        if not _is_open(graph, edge, known, avoid):
+        if not _is_available(graph, edge, known, avoid):
             continue
         cost = _compute_edge_cost(edge, previous, known)
         if best is None or cost < best_cost:
             best, best_cost = edge, cost
         found += 1
-        if found == SAMPLES:
+        if found == STAGE_SAMPLES:
             return best
     if best is not None:
         return best
-    return _find_any(graph, boundary, previous, known, avoid)
+    return _find_cheapest(graph, boundary, previous, known, avoid)
 
 
-def _find_any(
+def _find_cheapest(
     graph: Graph,
     boundary: int,
     previous: str,
@@ -239,14 +239,14 @@
         (
             e
             for e in graph.get_edges(boundary)
-            if _is_open(graph, e, known, avoid)
+            if _is_available(graph, e, known, avoid)
         ),
         key=lambda e: _compute_edge_cost(e, previous, known),
         default=None,
     )
 
 
-def _is_open(
+def _is_available(
     graph: Graph, edge: Edge, known: Known, avoid: frozenset[str]
 ) -> bool:
     if edge.upstream in avoid:
--- a/egretspur/routing/shares.py
+++ b/egretspur/routing/shares.py
@@ -77,7 +77,7 @@
 
 
 @attrs.define
-class Hold:
+class LimitCheck:
     """Check of workspace limits during one pass over the queue.
 
     Each share is computed once a pass: it depends on the sum of running and
@@ -90,7 +90,7 @@
     running: Mapping[str, int]
     _shares: dict[str, int | None] = attrs.Factory(dict)
 
-    def is_held(self, key: str) -> bool:
+    def is_at_limit(self, key: str) -> bool:
         """Returns whether a workspace has reached its share here."""
         if key not in self._shares:
             self._shares[key] = self.compute_share(key)
