--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -501,7 +501,7 @@
         ticket.busy_tries += 1
         for edge in path.edges if path else ():
             if not failure.blamed or edge.upstream in failure.blamed:
-                loads.note_full(self.network.loads[edge.upstream], now_s)
+                loads.note_busy(self.network.loads[edge.upstream], now_s)
         if ticket.busy_tries > MAX_BUSY_REQUEUES and not ticket.begun:
             return self._refuse_ticket(
                 ticket.arrival.id,
--- a/egretspur/routing/graph.py
+++ b/egretspur/routing/graph.py
@@ -172,7 +172,7 @@
     cost = 1.0 / edge.tokens_per_s
     load = known.upstreams.get(edge.upstream)
     if load is not None:
-        share = load.get_share(known.now_s)
+        share = load.get_ramp_share(known.now_s)
         cost *= (load.estimate(known.now_s) + 1.0) / share
     link = known.links.get((previous, edge.upstream))
     if link is not None:
@@ -254,7 +254,7 @@
     if edge.last == graph.layers and edge.upstream in known.closed:
         return False
     load = known.upstreams.get(edge.upstream)
-    return load is None or load.is_free(known.now_s)
+    return load is None or load.has_free_slot(known.now_s)
 
 
 def _build_boundaries(
--- a/egretspur/routing/loads.py
+++ b/egretspur/routing/loads.py
@@ -16,11 +16,11 @@
 import attrs
 
 # Time constant with which reported load of other routers decays to 1/e.
-FADE_S: Final = 2.0
+LOAD_DECAY_S: Final = 2.0
 
 # Backoff after a failure; doubles with each failure in a row up to the maximum.
-FIRST_PAUSE_S: Final = 1.0
-LONGEST_PAUSE_S: Final = 15.0
+INITIAL_BACKOFF_S: Final = 1.0
+MAX_BACKOFF_S: Final = 15.0
 
 # Time over which a recovered upstream returns to its full share of work.
 # Without this ramp all routers prefer the one idle upstream at once, and the
@@ -28,14 +28,14 @@
 RAMP_S: Final = 4.0
 
 # Share of work at the start of the ramp.
-RAMP_START: Final = 0.1
+RAMP_START_SHARE: Final = 0.1
 
 # Unattributed failures in a row that count as a failure of the upstream.
-STRIKES: Final = 2
+UNATTRIBUTED_LIMIT: Final = 2
 
 # Time constant with which a link's slowness decays, so that a slow link is
 # tried again and regains its work.
-FORGIVE_S: Final = 4.0
+SLOWNESS_DECAY_S: Final = 4.0
 
 # Upper bound on a link's slowness, so that one slow sample can't exclude it for
 # long.
@@ -64,17 +64,17 @@
     reported_at_s: float = 0.0
     health: Health = Health.UP
     failures: int = 0
-    strikes: int = 0
-    retry_at_s: float = 0.0
+    unattributed: int = 0
+    probe_at_s: float = 0.0
     # Monotonic time of its recovery; start of the ramp.
-    back_at_s: float = -math.inf
+    recovered_at_s: float = -math.inf
 
     def estimate(self, now_s: float) -> float:
         """Returns the estimated number of requests that it runs."""
         age = now_s - self.reported_at_s
-        return self.own + self.others * math.exp(-age / FADE_S)
+        return self.own + self.others * math.exp(-age / LOAD_DECAY_S)
 
-    def is_free(self, now_s: float) -> bool:
+    def has_free_slot(self, now_s: float) -> bool:
         """Returns whether it is estimated to have a free slot."""
         if self.health is Health.PROBING:
             return self.own == 0
@@ -84,14 +84,14 @@
         # request at three times the load.
         return not self.slots or self.estimate(now_s) + 1.0 <= self.slots
 
-    def get_share(self, now_s: float) -> float:
+    def get_ramp_share(self, now_s: float) -> float:
         """Returns the share of its usual work that it may be given, up to 1."""
         if self.health is not Health.UP:
-            return RAMP_START
-        age = now_s - self.back_at_s
+            return RAMP_START_SHARE
+        age = now_s - self.recovered_at_s
         if age >= RAMP_S:
             return 1.0
-        return RAMP_START + (1 - RAMP_START) * age / RAMP_S
+        return RAMP_START_SHARE + (1 - RAMP_START_SHARE) * age / RAMP_S
 
 
 def note_report(load: UpstreamLoad, total: int, now_s: float) -> None:
@@ -100,14 +100,14 @@
     load.reported_at_s = now_s
 
 
-def note_full(load: UpstreamLoad, now_s: float) -> None:
+def note_busy(load: UpstreamLoad, now_s: float) -> None:
     """Records that an upstream refused a request as busy."""
     load.others = max(0, max(load.slots, 1) - load.own)
     load.reported_at_s = now_s
 
 
 def note_failure(
-    load: UpstreamLoad, now_s: float, rng: random.Random, sure: bool
+    load: UpstreamLoad, now_s: float, rng: random.Random, is_attributed: bool
 ) -> bool:
     """Records a failure.
 
@@ -115,40 +115,40 @@
         load: Load of the upstream, changed in place.
         now_s: Monotonic time.
         rng: Source of the backoff's jitter.
-        sure: False if another stage of the chain may be at fault.
+        is_attributed: False if another stage of the chain may be at fault.
 
     Returns:
         True if the upstream was up and is down now.
     """
-    if not sure:
-        load.strikes += 1
-        if load.strikes < STRIKES:
+    if not is_attributed:
+        load.unattributed += 1
+        if load.unattributed < UNATTRIBUTED_LIMIT:
             return False
-    load.strikes = 0
+    load.unattributed = 0
     was_up = load.health is Health.UP
     load.health = Health.DOWN
     load.failures += 1
-    pause = min(FIRST_PAUSE_S * 2 ** (load.failures - 1), LONGEST_PAUSE_S)
+    pause = min(INITIAL_BACKOFF_S * 2 ** (load.failures - 1), MAX_BACKOFF_S)
     # The wide jitter keeps routers that saw the failure together from probing
     # the upstream at the same moment.
-    load.retry_at_s = now_s + pause * rng.uniform(0.5, 1.5)
+    load.probe_at_s = now_s + pause * rng.uniform(0.5, 1.5)
     return was_up
 
 
 def note_success(load: UpstreamLoad, now_s: float) -> bool:
     """Records a sign of life; returns whether the upstream recovered by it."""
-    load.strikes = 0
+    load.unattributed = 0
     if load.health is Health.UP:
         return False
     load.health = Health.UP
     load.failures = 0
-    load.back_at_s = now_s
+    load.recovered_at_s = now_s
     return True
 
 
 def is_probe_due(load: UpstreamLoad, now_s: float) -> bool:
     """Returns whether one request may probe an upstream that is down."""
-    return load.health is Health.DOWN and now_s >= load.retry_at_s
+    return load.health is Health.DOWN and now_s >= load.probe_at_s
 
 
 @attrs.define
@@ -163,7 +163,7 @@
     def get_slowness(self, now_s: float) -> float:
         """Returns the slowness factor, which decays to 1 with time."""
         age = now_s - self.seen_at_s
-        return 1.0 + (self.slowness - 1.0) * math.exp(-age / FORGIVE_S)
+        return 1.0 + (self.slowness - 1.0) * math.exp(-age / SLOWNESS_DECAY_S)
 
 
 def note_speed(link: LinkSpeed, token_s: float, now_s: float) -> None:
--- a/egretspur/routing/network.py
+++ b/egretspur/routing/network.py
@@ -173,7 +173,9 @@
         if is_ok:
             changed = loads.note_success(load, now_s)
         else:
-            changed = loads.note_failure(load, now_s, self._rng, sure=True)
+            changed = loads.note_failure(
+                load, now_s, self._rng, is_attributed=True
+            )
         if changed:
             self.rebuild()
 
@@ -221,12 +223,12 @@
                 if edge.upstream in failure.blamed:
                     ticket.failed.add(edge.upstream)
                     changed |= loads.note_failure(
-                        load, now_s, self._rng, sure=True
+                        load, now_s, self._rng, is_attributed=True
                     )
             else:
                 ticket.suspected.add(edge.upstream)
                 changed |= loads.note_failure(
-                    load, now_s, self._rng, sure=len(edges) == 1
+                    load, now_s, self._rng, is_attributed=len(edges) == 1
                 )
         if changed:
             self.rebuild()
--- a/tests/steps/decisions_steps.py
+++ b/tests/steps/decisions_steps.py
@@ -103,7 +103,7 @@
         context.dispatcher.network.loads[name].others = busy
         context.dispatcher.network.loads[name].reported_at_s = 10.0
     back = context.dispatcher.network.loads["u0"]
-    loads.note_failure(back, 5.0, random.Random(1), sure=True)
+    loads.note_failure(back, 5.0, random.Random(1), is_attributed=True)
     loads.note_success(back, 10.0)
 
 
