--- a/egretspur/routing/availability.py
+++ b/egretspur/routing/availability.py
@@ -50,7 +50,7 @@
         if isinstance(answer.backoff_s, float):
             self._network.note_backoff(name, answer.backoff_s, now_s)
         is_new = answer.is_leaving and self._network.note_leaving(name, now_s)
-        start = self._network.name_start(name)
+        start = self._network.make_incarnation_id(name)
         per_s = answer.per_s
         if not isinstance(per_s, signals.Unreadable) and self.throttle.note(
             start, per_s, now_s
@@ -62,7 +62,10 @@
     def hear(self, message: tables.RoutingUpdate, now_s: float) -> None:
         """Applies the limits and host count of a control daemon's update."""
         self.throttle.demand.hosts = max(1, message.listed, message.sharing)
-        listed = {self._network.name_start(n) for n in self._network.upstreams}
+        listed = {
+            self._network.make_incarnation_id(n)
+            for n in self._network.upstreams
+        }
         for start, told in message.limits.items():
             if start in listed and self.throttle.hear(
                 "", "", start, told, now_s
@@ -76,7 +79,9 @@
         """Returns whether an upstream accepts a request of this router now."""
         return not self._network.get_backoff_s(
             name, now_s
-        ) and self.throttle.is_open(self._network.name_start(name), now_s)
+        ) and self.throttle.is_open(
+            self._network.make_incarnation_id(name), now_s
+        )
 
     def list_closed(self, now_s: float) -> frozenset[str]:
         """Returns the upstreams that accept no request now.
@@ -92,7 +97,7 @@
 
     def take(self, name: str, now_s: float) -> None:
         """Counts a request sent to an upstream against its limit."""
-        self.throttle.take(self._network.name_start(name), now_s)
+        self.throttle.take(self._network.make_incarnation_id(name), now_s)
 
     def take_turn(self, name: str, now_s: float) -> bool:
         """Acquires a permit if a plain service's replica accepts a call now."""
@@ -125,7 +130,7 @@
         )
         if backoff_s:
             return throttle.Opening(backoff_s, math.inf)
-        starts = {self._network.name_start(n) for n in names}
+        starts = {self._network.make_incarnation_id(n) for n in names}
         if not starts <= self.throttle.limited:
             return None
         return self.throttle.find_opening(starts, now_s)
@@ -140,7 +145,9 @@
         return self._returns.promise(key, opening, waiting, now_s)
 
     def _note_unreadable(self, name: str, value: signals.Unreadable) -> None:
-        if self.throttle.note_unreadable(self._network.name_start(name)):
+        if self.throttle.note_unreadable(
+            self._network.make_incarnation_id(name)
+        ):
             decisions.record(
                 decisions.EntryLeftOut(
                     "answers", name, value.field, value.problem
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -123,12 +123,12 @@
         ticket.maybe_started |= failure.maybe_started or ticket.begun
         if failure.busy:
             return self._handle_busy(ticket, path, failure, now_s)
-        self.network.blame(ticket, path, failure, now_s)
-        if failure.is_cut and ticket.starts:
+        self.network.record_failure(ticket, path, failure, now_s)
+        if failure.is_cut and ticket.incarnation_ids:
             self.quarantine.note_cut(
                 quarantines.Cut(
                     ticket.arrival.fingerprint,
-                    ticket.starts,
+                    ticket.incarnation_ids,
                     failure.has_brought,
                     now_s,
                 ),
@@ -181,7 +181,7 @@
         """Applies an update from the control daemon."""
         self._now_s = now_s
         table = message.table
-        if table is not None and self.network.take_table(table):
+        if table is not None and self.network.apply_table(table):
             self._shares.divisors = table.shares
         self.network.mark_leaving(message.leaving, now_s)
         self._shares.note(message.demand, message.listed, now_s)
@@ -208,7 +208,7 @@
             )
         self._count_crashes(now_s)
         effects += self._refuse_quarantined_waiting(now_s)
-        self.network.forget_marks(now_s)
+        self.network.expire_leaving_marks(now_s)
         self.network.begin_probes(self._shares.listed, now_s)
         return effects + self._start_waiting(now_s)
 
@@ -269,7 +269,7 @@
         if is_answered:
             self.quarantine.note_answered(fingerprint, now_s)
             return
-        start = self.network.name_start(name)
+        start = self.network.make_incarnation_id(name)
         self.quarantine.note_cut(
             quarantines.Cut(fingerprint, (start,), False, now_s), now_s
         )
@@ -283,7 +283,7 @@
 
     def _count_crashes(self, now_s: float) -> None:
         """Counts the upstreams that are now known to have crashed."""
-        self.quarantine.settle(self.network.look_at, now_s)
+        self.quarantine.settle(self.network.get_incarnation_state, now_s)
         for change in self.quarantine.take_changes():
             decisions.record(
                 decisions.QuarantineChanged(
@@ -453,9 +453,9 @@
             self.network.loads[edge.upstream].own += 1
         ticket.path = path
         self.availability.take(path.edges[-1].upstream, now_s)
-        ticket.starts = tuple(
+        ticket.incarnation_ids = tuple(
             # The last stage first: it sends the caller's answer.
-            self.network.name_start(e.upstream)
+            self.network.make_incarnation_id(e.upstream)
             for e in reversed(path.edges)
         )
         ticket.attempts += 1
--- a/egretspur/routing/network.py
+++ b/egretspur/routing/network.py
@@ -17,11 +17,11 @@
 from egretspur.routing import loads, requests, tables
 
 # Retention of a leaving mark; far above the lag of the platform's list.
-LEAVING_KEPT_S: Final = 3600.0
+LEAVING_RETENTION_S: Final = 3600.0
 
 
 # Separates an upstream's name from its incarnation in an incarnation id.
-START_MARK: Final = "@"
+INCARNATION_SEPARATOR: Final = "@"
 
 
 class Network:
@@ -43,7 +43,7 @@
         self.bindings: dict[str, records.Binding] = {}
         self.graphs: dict[str, graphs.Graph] = {}
 
-    def take_table(self, table: tables.RoutingTable) -> bool:
+    def apply_table(self, table: tables.RoutingTable) -> bool:
         """Puts a table in force unless a newer one is.
 
         The graphs stay unchanged until `rebuild`.
@@ -98,28 +98,30 @@
         self.rebuild()
         return True
 
-    def forget_marks(self, now_s: float) -> None:
+    def expire_leaving_marks(self, now_s: float) -> None:
         """Drops expired marks, whose incarnations are gone by then."""
         for name, marks in list(self.leaving.items()):
             self.leaving[name] = {
-                i: t for i, t in marks.items() if now_s - t < LEAVING_KEPT_S
+                i: t
+                for i, t in marks.items()
+                if now_s - t < LEAVING_RETENTION_S
             }
 
-    def name_start(self, name: str) -> str:
+    def make_incarnation_id(self, name: str) -> str:
         """Returns the id of an upstream's current incarnation."""
         upstream = self.upstreams.get(name)
-        return f"{name}{START_MARK}{upstream.incarnation if upstream else ''}"
+        return f"{name}{INCARNATION_SEPARATOR}{upstream.incarnation if upstream else ''}"
 
     def note_backoff(self, name: str, backoff_s: float, now_s: float) -> None:
         """Records that an upstream asked this router to back off."""
         self._backoffs = {i: t for i, t in self._backoffs.items() if now_s < t}
-        start = self.name_start(name)
+        start = self.make_incarnation_id(name)
         until_s = max(now_s + backoff_s, self._backoffs.get(start, 0.0))
         self._backoffs[start] = until_s
 
     def get_backoff_s(self, name: str, now_s: float) -> float:
         """Returns the rest of an upstream's backoff, in seconds."""
-        until_s = self._backoffs.get(self.name_start(name), now_s)
+        until_s = self._backoffs.get(self.make_incarnation_id(name), now_s)
         return max(0.0, until_s - now_s)
 
     def list_backing_off(self, now_s: float) -> frozenset[str]:
@@ -130,14 +132,17 @@
             n for n in self.upstreams if self.get_backoff_s(n, now_s)
         )
 
-    def look_at(self, start: str) -> quarantine.State:
+    def get_incarnation_state(self, incarnation_id: str) -> quarantine.State:
         """Returns whether an incarnation has ended, for a cut attempt.
 
         The upstream is not probed: the platform's list shows its next
         incarnation some seconds later.
         """
-        name = start.rpartition(START_MARK)[0]
-        if name not in self.upstreams or self.name_start(name) != start:
+        name = incarnation_id.rpartition(INCARNATION_SEPARATOR)[0]
+        if (
+            name not in self.upstreams
+            or self.make_incarnation_id(name) != incarnation_id
+        ):
             return quarantine.State.ENDED
         return quarantine.State.UNKNOWN
 
@@ -198,7 +203,7 @@
         if changed:
             self.rebuild()
 
-    def blame(
+    def record_failure(
         self,
         ticket: requests.Ticket,
         path: graphs.Path | None,
--- a/egretspur/routing/requests.py
+++ b/egretspur/routing/requests.py
@@ -83,7 +83,7 @@
     maybe_started: bool = False
     path: graphs.Path | None = None
     # Incarnations of the path's upstreams; see `network.Network.name_start`.
-    starts: tuple[str, ...] = ()
+    incarnation_ids: tuple[str, ...] = ()
     # Upstreams that failed it, and those that may have.
     failed: set[str] = attrs.Factory(set)
     suspected: set[str] = attrs.Factory(set)
