--- a/egretspur/routing/availability.py
+++ b/egretspur/routing/availability.py
@@ -1,8 +1,9 @@
 """Availability of upstreams by the signals in their answers: pure.
 
 An upstream may ask a router for a rate limit or a backoff, or report that it is
-leaving. Signals are kept by incarnation; see `network.Network.name_start`. Read
-next: `egretspur.admission.throttle`, `egretspur.routing.dispatch`.
+leaving. Signals are kept by incarnation; see
+`network.Network.make_incarnation_id`. Read next:
+`egretspur.admission.throttle`, `egretspur.routing.dispatch`.
 """
 
 from __future__ import annotations
@@ -50,13 +51,15 @@
         if isinstance(answer.backoff_s, float):
             self._network.note_backoff(name, answer.backoff_s, now_s)
         is_new = answer.is_leaving and self._network.note_leaving(name, now_s)
-        start = self._network.make_incarnation_id(name)
+        incarnation_id = self._network.make_incarnation_id(name)
         per_s = answer.per_s
         if not isinstance(per_s, signals.Unreadable) and self.throttle.note(
-            start, per_s, now_s
+            incarnation_id, per_s, now_s
         ):
             is_new = True
-            decisions.record(decisions.UpstreamLimited(start, per_s, True))
+            decisions.record(
+                decisions.UpstreamLimited(incarnation_id, per_s, True)
+            )
         return is_new
 
     def hear(self, message: tables.RoutingUpdate, now_s: float) -> None:
@@ -66,12 +69,14 @@
             self._network.make_incarnation_id(n)
             for n in self._network.upstreams
         }
-        for start, told in message.limits.items():
-            if start in listed and self.throttle.hear(
-                "", "", start, told, now_s
+        for incarnation_id, limit in message.limits.items():
+            if incarnation_id in listed and self.throttle.hear(
+                "", "", incarnation_id, limit, now_s
             ):
                 decisions.record(
-                    decisions.UpstreamLimited(start, told.per_s, False)
+                    decisions.UpstreamLimited(
+                        incarnation_id, limit.per_s, False
+                    )
                 )
         self.throttle.forget(listed)
 
@@ -130,10 +135,10 @@
         )
         if backoff_s:
             return throttle.Opening(backoff_s, math.inf)
-        starts = {self._network.make_incarnation_id(n) for n in names}
-        if not starts <= self.throttle.limited:
+        ids = {self._network.make_incarnation_id(n) for n in names}
+        if not ids <= self.throttle.limited:
             return None
-        return self.throttle.find_opening(starts, now_s)
+        return self.throttle.find_opening(ids, now_s)
 
     def promise(
         self, key: str, opening: throttle.Opening, waiting: int, now_s: float
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -269,9 +269,9 @@
         if is_answered:
             self.quarantine.note_answered(fingerprint, now_s)
             return
-        start = self.network.make_incarnation_id(name)
+        incarnation_id = self.network.make_incarnation_id(name)
         self.quarantine.note_cut(
-            quarantines.Cut(fingerprint, (start,), False, now_s), now_s
+            quarantines.Cut(fingerprint, (incarnation_id,), False, now_s), now_s
         )
         self._count_crashes(now_s)
 
--- a/egretspur/routing/loads.py
+++ b/egretspur/routing/loads.py
@@ -46,7 +46,7 @@
     """Whether an upstream may be given work."""
 
     UP = "up"
-    # Failed; not probed before `UpstreamLoad.retry_at_s`.
+    # Failed; not probed before `UpstreamLoad.probe_at_s`.
     DOWN = "down"
     # One request probes it.
     PROBING = "probing"
--- a/egretspur/routing/network.py
+++ b/egretspur/routing/network.py
@@ -110,14 +110,17 @@
     def make_incarnation_id(self, name: str) -> str:
         """Returns the id of an upstream's current incarnation."""
         upstream = self.upstreams.get(name)
-        return f"{name}{INCARNATION_SEPARATOR}{upstream.incarnation if upstream else ''}"
+        incarnation = upstream.incarnation if upstream else ""
+        return f"{name}{INCARNATION_SEPARATOR}{incarnation}"
 
     def note_backoff(self, name: str, backoff_s: float, now_s: float) -> None:
         """Records that an upstream asked this router to back off."""
         self._backoffs = {i: t for i, t in self._backoffs.items() if now_s < t}
-        start = self.make_incarnation_id(name)
-        until_s = max(now_s + backoff_s, self._backoffs.get(start, 0.0))
-        self._backoffs[start] = until_s
+        incarnation_id = self.make_incarnation_id(name)
+        until_s = max(
+            now_s + backoff_s, self._backoffs.get(incarnation_id, 0.0)
+        )
+        self._backoffs[incarnation_id] = until_s
 
     def get_backoff_s(self, name: str, now_s: float) -> float:
         """Returns the rest of an upstream's backoff, in seconds."""
--- a/egretspur/routing/requests.py
+++ b/egretspur/routing/requests.py
@@ -82,7 +82,7 @@
     begun: bool = False
     maybe_started: bool = False
     path: graphs.Path | None = None
-    # Incarnations of the path's upstreams; see `network.Network.name_start`.
+    # Of the path's upstreams; see `network.Network.make_incarnation_id`.
     incarnation_ids: tuple[str, ...] = ()
     # Upstreams that failed it, and those that may have.
     failed: set[str] = attrs.Factory(set)
