--- a/egretspur/routing/shares.py
+++ b/egretspur/routing/shares.py
@@ -24,24 +24,24 @@
     # Time for which demand must exceed an even share before more is granted.
     settle_s: float
     # Age after which other hosts' demand is ignored.
-    news_s: float
+    max_age_s: float
     # Number of data centres that share a limit, by binding key.
     divisors: Mapping[str, int] = attrs.Factory(dict)
     # Running and waiting requests by binding key and host.
     demand: Mapping[str, Mapping[str, int]] = attrs.Factory(dict)
     # Number of routers in the data centre, by the platform's list.
     listed: int = 1
-    informed_at_s: float = -1e9
+    updated_at_s: float = -1e9
     # Monotonic time since which demand exceeds an even share, by binding key.
-    _wanting_since_s: dict[str, float] = attrs.Factory(dict)
+    _over_share_since_s: dict[str, float] = attrs.Factory(dict)
 
-    def note(
+    def apply_update(
         self, demand: Mapping[str, Mapping[str, int]], listed: int, now_s: float
     ) -> None:
         """Applies an update on the other routers."""
         self.demand = demand
         self.listed = max(1, listed)
-        self.informed_at_s = now_s
+        self.updated_at_s = now_s
 
     def compute(
         self, key: str, binding: records.Binding, wanted: int, now_s: float
@@ -61,7 +61,7 @@
             self.name,
             demand,
             self.listed,
-            now_s - self.informed_at_s < self.news_s,
+            now_s - self.updated_at_s < self.max_age_s,
             self._is_settled(key, wanted, limit, now_s),
         )
 
@@ -70,9 +70,9 @@
     ) -> bool:
         """Returns whether demand has exceeded an even share for `settle_s`."""
         if wanted * self.listed <= limit:
-            self._wanting_since_s.pop(key, None)
+            self._over_share_since_s.pop(key, None)
             return False
-        since = self._wanting_since_s.setdefault(key, now_s)
+        since = self._over_share_since_s.setdefault(key, now_s)
         return now_s - since >= self.settle_s
 
 
