--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -129,7 +129,7 @@
                 quarantines.Cut(
                     ticket.arrival.fingerprint,
                     ticket.incarnation_ids,
-                    failure.has_brought,
+                    failure.has_output,
                     now_s,
                 ),
                 now_s,
@@ -498,11 +498,11 @@
         """
         self.counts.busy += 1
         ticket.attempts -= 1
-        ticket.busy_tries += 1
+        ticket.busy_requeues += 1
         for edge in path.edges if path else ():
             if not failure.blamed or edge.upstream in failure.blamed:
                 loads.note_busy(self.network.loads[edge.upstream], now_s)
-        if ticket.busy_tries > MAX_BUSY_REQUEUES and not ticket.begun:
+        if ticket.busy_requeues > MAX_BUSY_REQUEUES and not ticket.begun:
             return self._refuse_ticket(
                 ticket.arrival.id,
                 errors.ErrorKind.QUEUE_FULL,
--- a/egretspur/routing/requests.py
+++ b/egretspur/routing/requests.py
@@ -39,7 +39,7 @@
     # Its connection broke or timed out, so an upstream of it may have crashed.
     is_cut: bool = False
     # This attempt itself returned tokens.
-    has_brought: bool = False
+    has_output: bool = False
 
 
 @attrs.frozen
@@ -77,7 +77,7 @@
     deadline_s: float
     priority: int
     attempts: int = 0
-    busy_tries: int = 0
+    busy_requeues: int = 0
     # Tokens were delivered, so it is resumed regardless of the retry budget.
     begun: bool = False
     maybe_started: bool = False
