--- a/bench/choice.py
+++ b/bench/choice.py
@@ -26,7 +26,7 @@
     upstreams = {
         n: loads.UpstreamLoad(32, own=rng.randint(0, 20)) for n in names
     }
-    known = graph.Known(upstreams, {}, 0.0)
+    known = graph.NetworkState(upstreams, {}, 0.0)
     before = time.process_time()
     for _ in range(CHOICES):
         graph.choose_path(built, known, rng)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -143,7 +143,7 @@
 
 def choose_ours(model: Model, router: int, now_s: float) -> Path:
     """The product's choice: sampled by speed, cheapest expected time."""
-    known = graph.Known(model.known[router], {}, now_s)
+    known = graph.NetworkState(model.known[router], {}, now_s)
     path = graph.choose_path(model.graph, known, model.rng)
     assert path is not None
     return path.edges
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -374,7 +374,7 @@
         now_s: float,
     ) -> list[requests.Effect]:
         """Refuses a request whose rate-limited turn is after its deadline."""
-        opening = self.availability.find_opening(graph.last, now_s)
+        opening = self.availability.find_opening(graph.last_stages, now_s)
         if opening is None or ticket.begun:
             return []
         waiting = sum(
@@ -434,7 +434,7 @@
         binding = self.network.bindings.get(ticket.key)
         if graph is None or binding is None:
             return None
-        known = graphs.Known(
+        known = graphs.NetworkState(
             self.network.loads,
             self.network.links,
             now_s,
--- a/egretspur/routing/graph.py
+++ b/egretspur/routing/graph.py
@@ -93,14 +93,14 @@
         self._boundaries = _build_boundaries(edges.values(), layers)
         self.size = sum(len(b.edges) for b in self._boundaries.values())
         # Upstreams of last stages, to which hosts send requests.
-        self.last = frozenset(
+        self.last_stages = frozenset(
             e.upstream
             for b in self._boundaries.values()
             for e in b.edges
             if e.last == layers
         )
 
-    def sample(self, boundary: int, rng: random.Random) -> Edge | None:
+    def sample_stage(self, boundary: int, rng: random.Random) -> Edge | None:
         """Returns a random stage at a boundary, weighted by speed."""
         found = self._boundaries.get(boundary)
         if found is None:
@@ -115,7 +115,7 @@
 
 
 @attrs.frozen
-class Known:
+class NetworkState:
     """Loads, links and availability that a choice depends on."""
 
     upstreams: Mapping[str, loads.UpstreamLoad]
@@ -123,12 +123,12 @@
     now_s: float
     # Upstreams at a rate limit or in a backoff. They are excluded only as last
     # stages, which receive the requests and forward them to the others.
-    closed: frozenset[str] = frozenset()
+    unavailable: frozenset[str] = frozenset()
 
 
 def choose_path(
     graph: Graph,
-    known: Known,
+    state: NetworkState,
     rng: random.Random,
     avoid: frozenset[str] = frozenset(),
 ) -> Path | None:
@@ -136,23 +136,23 @@
 
     Args:
         graph: Stages to choose from.
-        known: Loads, links and availability of the upstreams.
+        state: Loads, links and availability of the upstreams.
         rng: Source of the random samples.
         avoid: Upstreams to exclude, which failed this request or back off.
     """
     best: tuple[Edge, ...] | None = None
     best_cost = 0.0
     for _ in range(PATH_SAMPLES):
-        edges = _sample_path(graph, known, rng, avoid)
+        edges = _sample_path(graph, state, rng, avoid)
         if edges is None:
             continue
-        cost = compute_cost(edges, known)
+        cost = compute_cost(edges, state)
         if best is None or cost < best_cost:
             best, best_cost = edges, cost
     return Path(best, graph.label) if best else None
 
 
-def compute_cost(edges: tuple[Edge, ...], known: Known) -> float:
+def compute_cost(edges: tuple[Edge, ...], state: NetworkState) -> float:
     """Returns the relative expected seconds per token of a path.
 
     This is the cost of its slowest stage: the stage's time per token, scaled
@@ -161,28 +161,28 @@
     cost = 0.0
     previous = ""
     for edge in edges:
-        stage = _compute_edge_cost(edge, previous, known)
+        stage = _compute_edge_cost(edge, previous, state)
         if stage > cost:
             cost = stage
         previous = edge.upstream
     return cost
 
 
-def _compute_edge_cost(edge: Edge, previous: str, known: Known) -> float:
+def _compute_edge_cost(edge: Edge, previous: str, state: NetworkState) -> float:
     cost = 1.0 / edge.tokens_per_s
-    load = known.upstreams.get(edge.upstream)
+    load = state.upstreams.get(edge.upstream)
     if load is not None:
-        share = load.get_ramp_share(known.now_s)
-        cost *= (load.estimate(known.now_s) + 1.0) / share
-    link = known.links.get((previous, edge.upstream))
+        share = load.get_ramp_share(state.now_s)
+        cost *= (load.estimate(state.now_s) + 1.0) / share
+    link = state.links.get((previous, edge.upstream))
     if link is not None:
-        cost *= link.get_slowness(known.now_s)
+        cost *= link.get_slowness(state.now_s)
     return cost
 
 
 def _sample_path(
     graph: Graph,
-    known: Known,
+    state: NetworkState,
     rng: random.Random,
     avoid: frozenset[str],
 ) -> tuple[Edge, ...] | None:
@@ -190,7 +190,7 @@
     boundary = 0
     previous = ""
     while boundary < graph.layers:
-        edge = _sample_edge(graph, boundary, previous, known, rng, avoid)
+        edge = _sample_edge(graph, boundary, previous, state, rng, avoid)
         if edge is None:
             return None
         path.append(edge)
@@ -203,7 +203,7 @@
     graph: Graph,
     boundary: int,
     previous: str,
-    known: Known,
+    state: NetworkState,
     rng: random.Random,
     avoid: frozenset[str],
 ) -> Edge | None:
@@ -211,12 +211,12 @@
     best_cost = 0.0
     found = 0
     for _ in range(MAX_DRAWS):
-        edge = graph.sample(boundary, rng)
+        edge = graph.sample_stage(boundary, rng)
         if edge is None:
             return None
-        if not _is_available(graph, edge, known, avoid):
+        if not _is_available(graph, edge, state, avoid):
             continue
-        cost = _compute_edge_cost(edge, previous, known)
+        cost = _compute_edge_cost(edge, previous, state)
         if best is None or cost < best_cost:
             best, best_cost = edge, cost
         found += 1
@@ -224,14 +224,14 @@
             return best
     if best is not None:
         return best
-    return _find_cheapest(graph, boundary, previous, known, avoid)
+    return _find_cheapest(graph, boundary, previous, state, avoid)
 
 
 def _find_cheapest(
     graph: Graph,
     boundary: int,
     previous: str,
-    known: Known,
+    state: NetworkState,
     avoid: frozenset[str],
 ) -> Edge | None:
     """Returns the cheapest available stage, searching all at a boundary."""
@@ -239,22 +239,22 @@
         (
             e
             for e in graph.get_edges(boundary)
-            if _is_available(graph, e, known, avoid)
+            if _is_available(graph, e, state, avoid)
         ),
-        key=lambda e: _compute_edge_cost(e, previous, known),
+        key=lambda e: _compute_edge_cost(e, previous, state),
         default=None,
     )
 
 
 def _is_available(
-    graph: Graph, edge: Edge, known: Known, avoid: frozenset[str]
+    graph: Graph, edge: Edge, state: NetworkState, avoid: frozenset[str]
 ) -> bool:
     if edge.upstream in avoid:
         return False
-    if edge.last == graph.layers and edge.upstream in known.closed:
+    if edge.last == graph.layers and edge.upstream in state.unavailable:
         return False
-    load = known.upstreams.get(edge.upstream)
-    return load is None or load.has_free_slot(known.now_s)
+    load = state.upstreams.get(edge.upstream)
+    return load is None or load.has_free_slot(state.now_s)
 
 
 def _build_boundaries(
--- a/tests/steps/decisions_steps.py
+++ b/tests/steps/decisions_steps.py
@@ -186,7 +186,7 @@
     """Returns how many in 100 choices go over the slow link, as work grows."""
     names = {n for way in context.ways for n in way}
     upstreams = {n: loads.UpstreamLoad(0) for n in names}
-    known = graph.Known(upstreams, context.links, now_s)
+    known = graph.NetworkState(upstreams, context.links, now_s)
     rng = random.Random(3)
     hits = 0
     for _ in range(1000):
