--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -129,7 +129,7 @@
                 quarantines.Cut(
                     ticket.arrival.fingerprint,
                     ticket.incarnation_ids,
-                    failure.has_output,
+                    failure.has_brought,
                     now_s,
                 ),
                 now_s,
@@ -316,14 +316,18 @@
             effect
             for i in list(self.queue.waiting)
             if self.quarantine.is_held(self.tickets[i].arrival.fingerprint)
-            for effect in self._refuse_quarantined(i, "waited", now_s)
+            for effect in self._refuse_quarantined(
+                i, "quarantined while waiting", now_s
+            )
         ]
 
     def _admit(
         self, ticket: requests.Ticket, now_s: float
     ) -> list[requests.Effect]:
         if self.quarantine.is_held(ticket.arrival.fingerprint):
-            return self._refuse_quarantined(ticket.arrival.id, "known", now_s)
+            return self._refuse_quarantined(
+                ticket.arrival.id, "in quarantine", now_s
+            )
         item = self._make_waiting(ticket, now_s)
         graph = self.network.graphs.get(ticket.graph)
         if graph is None or not graph.size:
@@ -434,7 +438,7 @@
         binding = self.network.bindings.get(ticket.key)
         if graph is None or binding is None:
             return None
-        known = graphs.NetworkState(
+        state = graphs.NetworkState(
             self.network.loads,
             self.network.links,
             now_s,
@@ -442,10 +446,10 @@
         )
         backing_off = self.network.list_backing_off(now_s)
         avoid = backing_off | ticket.failed | ticket.suspected
-        path = graphs.choose_path(graph, known, self._rng, avoid)
+        path = graphs.choose_path(graph, state, self._rng, avoid)
         if path is None and ticket.suspected:
             path = graphs.choose_path(
-                graph, known, self._rng, backing_off | ticket.failed
+                graph, state, self._rng, backing_off | ticket.failed
             )
         if path is None:
             return None
--- a/egretspur/routing/graph.py
+++ b/egretspur/routing/graph.py
@@ -123,7 +123,7 @@
     now_s: float
     # Upstreams at a rate limit or in a backoff. They are excluded only as last
     # stages, which receive the requests and forward them to the others.
-    unavailable: frozenset[str] = frozenset()
+    closed: frozenset[str] = frozenset()
 
 
 def choose_path(
@@ -251,7 +251,7 @@
 ) -> bool:
     if edge.upstream in avoid:
         return False
-    if edge.last == graph.layers and edge.upstream in state.unavailable:
+    if edge.last == graph.layers and edge.upstream in state.closed:
         return False
     load = state.upstreams.get(edge.upstream)
     return load is None or load.has_free_slot(state.now_s)
--- a/egretspur/routing/requests.py
+++ b/egretspur/routing/requests.py
@@ -39,7 +39,7 @@
     # Its connection broke or timed out, so an upstream of it may have crashed.
     is_cut: bool = False
     # This attempt itself returned tokens.
-    has_output: bool = False
+    has_brought: bool = False
 
 
 @attrs.frozen
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -565,7 +565,7 @@
 
 @then("the attempt's connection is closed within {seconds:g} s")
 def step_closed(context: Any, seconds: float) -> None:
-    assert context.play.sends.answers[0].unavailable.wait(seconds)
+    assert context.play.sends.answers[0].closed.wait(seconds)
 
 
 @then("the caller gets {status:d} within {seconds:g} s")
