--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -242,11 +242,11 @@
     @handle.register
     def _(self, message: TakeTurn) -> bool:
         state = self._dispatcher.availability
-        return state.take_turn(message.upstream, time.monotonic())
+        return state.acquire_permit(message.upstream, time.monotonic())
 
     @handle.register
     def _(self, message: PromiseTurn) -> float:
-        return self._dispatcher.availability.promise_turn(
+        return self._dispatcher.availability.get_retry_after_s(
             message.service, message.upstreams, time.monotonic()
         )
 
--- a/egretspur/routing/availability.py
+++ b/egretspur/routing/availability.py
@@ -62,7 +62,7 @@
             )
         return is_new
 
-    def hear(self, message: tables.RoutingUpdate, now_s: float) -> None:
+    def apply_update(self, message: tables.RoutingUpdate, now_s: float) -> None:
         """Applies the limits and host count of a control daemon's update."""
         self.throttle.demand.hosts = max(1, message.listed, message.sharing)
         listed = {
@@ -100,18 +100,18 @@
             n for n in self._network.upstreams if not self.is_open(n, now_s)
         )
 
-    def take(self, name: str, now_s: float) -> None:
+    def consume_permit(self, name: str, now_s: float) -> None:
         """Counts a request sent to an upstream against its limit."""
         self.throttle.take(self._network.make_incarnation_id(name), now_s)
 
-    def take_turn(self, name: str, now_s: float) -> bool:
+    def acquire_permit(self, name: str, now_s: float) -> bool:
         """Acquires a permit if a plain service's replica accepts a call now."""
         if not self.is_open(name, now_s):
             return False
-        self.take(name, now_s)
+        self.consume_permit(name, now_s)
         return True
 
-    def promise_turn(
+    def get_retry_after_s(
         self, service: str, names: Collection[str], now_s: float
     ) -> float:
         """Returns the seconds after which a caller refused by all may retry.
@@ -121,7 +121,7 @@
         opening = self.find_opening(names, now_s)
         if opening is None:
             return 0.0
-        return self.promise(service, opening, 0, now_s)
+        return self.reserve_retry(service, opening, 0, now_s)
 
     def find_opening(
         self, names: Collection[str], now_s: float
@@ -140,7 +140,7 @@
             return None
         return self.throttle.find_opening(ids, now_s)
 
-    def promise(
+    def reserve_retry(
         self, key: str, opening: throttle.Opening, waiting: int, now_s: float
     ) -> float:
         """Returns the seconds until one more caller retries.
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -188,7 +188,7 @@
         self.network.rebuild()
         self.quarantine.hear(message.ended, now_s)
         self._count_crashes(now_s)
-        self.availability.hear(message, now_s)
+        self.availability.apply_update(message, now_s)
         return [
             *self._refuse_quarantined_waiting(now_s),
             *self._start_waiting(now_s),
@@ -391,7 +391,9 @@
             errors.ErrorKind.UPSTREAM_LIMITED,
             opening.describe(waiting),
             now_s,
-            self.availability.promise(item.graph, opening, waiting, now_s),
+            self.availability.reserve_retry(
+                item.graph, opening, waiting, now_s
+            ),
         )
 
     def _requeue_begun(
@@ -456,7 +458,7 @@
         for edge in path.edges:
             self.network.loads[edge.upstream].own += 1
         ticket.path = path
-        self.availability.take(path.edges[-1].upstream, now_s)
+        self.availability.consume_permit(path.edges[-1].upstream, now_s)
         ticket.incarnation_ids = tuple(
             # The last stage first: it sends the caller's answer.
             self.network.make_incarnation_id(e.upstream)
