--- a/egretspur/claims/calls.py
+++ b/egretspur/claims/calls.py
@@ -101,7 +101,7 @@
         # A single replica is tried again: its first connection may have been
         # forgotten by something in between, and the pool is emptied by now.
         for upstream in (replicas * TRIES)[:TRIES]:
-            if not self._traffic.take_turn(upstream.name):
+            if not self._traffic.acquire_permit(upstream.name):
                 closed.append(upstream.name)
                 continue
             res = self._client.call(upstream.address, call.call)
@@ -161,7 +161,7 @@
     ) -> Result:
         closed: list[str] = []
         for upstream in replicas:
-            if not self._traffic.take_turn(upstream.name):
+            if not self._traffic.acquire_permit(upstream.name):
                 closed.append(upstream.name)
                 continue
             res = self._client.call(upstream.address, call.call)
@@ -230,7 +230,7 @@
         if not opts.outcome_path:
             return None
         for upstream in replicas:
-            if not self._traffic.take_turn(upstream.name):
+            if not self._traffic.acquire_permit(upstream.name):
                 continue
             res = self._client.get_outcome(
                 upstream.address, opts.outcome_path, call.request_id
@@ -245,7 +245,7 @@
         return errors.Refusal(
             errors.ErrorKind.UPSTREAM_LIMITED,
             f"{len(closed)} replicas at their limits, or in backoff",
-            self._traffic.promise_turn(service, tuple(closed)),
+            self._traffic.get_retry_after_s(service, tuple(closed)),
         )
 
     def _note_call(
--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -94,14 +94,14 @@
 
 
 @attrs.frozen
-class TakeTurn:
+class AcquirePermit:
     """Asks for a permit to send a call to a plain service's replica now."""
 
     upstream: str
 
 
 @attrs.frozen
-class PromiseTurn:
+class GetRetryAfter:
     """Asks when to retry a call that none of these replicas accepts."""
 
     service: str
@@ -240,12 +240,12 @@
             self._on_urgent()
 
     @handle.register
-    def _(self, message: TakeTurn) -> bool:
+    def _(self, message: AcquirePermit) -> bool:
         state = self._dispatcher.availability
         return state.acquire_permit(message.upstream, time.monotonic())
 
     @handle.register
-    def _(self, message: PromiseTurn) -> float:
+    def _(self, message: GetRetryAfter) -> float:
         return self._dispatcher.availability.get_retry_after_s(
             message.service, message.upstreams, time.monotonic()
         )
@@ -350,14 +350,18 @@
         if answer != signals.NONE or self._throttle.limited:
             self._ref.tell(NoteSignals(upstream, answer))
 
-    def take_turn(self, upstream: str) -> bool:
+    def acquire_permit(self, upstream: str) -> bool:
         """Acquires a permit if a replica accepts a call now."""
-        is_taken: bool = actors.ask(self._ref, TakeTurn(upstream))
+        is_taken: bool = actors.ask(self._ref, AcquirePermit(upstream))
         return is_taken
 
-    def promise_turn(self, service: str, upstreams: tuple[str, ...]) -> float:
+    def get_retry_after_s(
+        self, service: str, upstreams: tuple[str, ...]
+    ) -> float:
         """Returns the seconds after which a caller refused by all may retry."""
-        after_s: float = actors.ask(self._ref, PromiseTurn(service, upstreams))
+        after_s: float = actors.ask(
+            self._ref, GetRetryAfter(service, upstreams)
+        )
         return after_s
 
     def get_services(self, name: str) -> list[tables.Upstream]:
