--- a/egretspur/claims/calls.py
+++ b/egretspur/claims/calls.py
@@ -84,7 +84,7 @@
             return errors.Refusal(
                 errors.ErrorKind.UNKNOWN_SERVICE, repr(call.service)
             )
-        if self._traffic.is_held(call.fingerprint):
+        if self._traffic.is_quarantined(call.fingerprint):
             return errors.Refusal(
                 errors.ErrorKind.QUARANTINED,
                 "replicas ended under it before",
--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen
-class IsHeld:
+class IsQuarantined:
     """Asks whether a request or call is quarantined."""
 
     fingerprint: str
@@ -218,7 +218,7 @@
         )
 
     @handle.register
-    def _(self, message: IsHeld) -> bool:
+    def _(self, message: IsQuarantined) -> bool:
         return self._dispatcher.quarantine.is_held(message.fingerprint)
 
     @handle.register
@@ -329,9 +329,9 @@
         """Reports that a request was answered completely or has ended."""
         self._ref.tell(Finish(request_id, is_answered))
 
-    def is_held(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Returns whether a request or call is quarantined."""
-        held: bool = actors.ask(self._ref, IsHeld(fingerprint))
+        held: bool = actors.ask(self._ref, IsQuarantined(fingerprint))
         return held
 
     def tell(
