--- a/egretspur/claims/calls.py
+++ b/egretspur/claims/calls.py
@@ -97,7 +97,7 @@
     def _run_repeatable(self, call: Call) -> Result:
         last: transport.Failed | None = None
         closed: list[str] = []
-        replicas = self._traffic.get_services(call.service)
+        replicas = self._traffic.get_replicas(call.service)
         # A single replica is tried again: its first connection may have been
         # forgotten by something in between, and the pool is emptied by now.
         for upstream in (replicas * TRIES)[:TRIES]:
@@ -125,7 +125,7 @@
         )
 
     def _run_once(self, call: Call, opts: settings.ServiceSettings) -> Result:
-        replicas = self._traffic.get_services(call.service)
+        replicas = self._traffic.get_replicas(call.service)
         if not replicas:
             return _refuse_no_replica(call)
         if not call.has_own_id:
@@ -194,7 +194,7 @@
         of one service usually share what they know. It is never sent again,
         even if none has seen it: it may still be on its way.
         """
-        others = self._traffic.get_services(call.service)
+        others = self._traffic.get_replicas(call.service)
         asked = [upstream, *(u for u in others if u.name != upstream.name)]
         found = self._ask_outcome(call, opts, asked)
         if found is not None:
--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class GetService:
+class GetReplicas:
     """Asks for the replicas of a plain service."""
 
     name: str
@@ -208,8 +208,8 @@
         self._questions.run(self._dispatcher.tick(time.monotonic()))
 
     @handle.register
-    def _(self, message: GetService) -> list[tables.Upstream]:
-        return self._dispatcher.get_services(message.name, time.monotonic())
+    def _(self, message: GetReplicas) -> list[tables.Upstream]:
+        return self._dispatcher.get_replicas(message.name, time.monotonic())
 
     @handle.register
     def _(self, message: NoteService) -> None:
@@ -261,7 +261,7 @@
             self._dispatcher.network.offset,
             marks,
             self._dispatcher.get_demand(),
-            self._dispatcher.list_ended(time.monotonic()),
+            self._dispatcher.list_crashes(time.monotonic()),
             self._dispatcher.availability.throttle.list_told(time.monotonic()),
         )
 
@@ -364,9 +364,9 @@
         )
         return after_s
 
-    def get_services(self, name: str) -> list[tables.Upstream]:
+    def get_replicas(self, name: str) -> list[tables.Upstream]:
         """Returns a plain service's replicas, available and idle ones first."""
-        found: list[tables.Upstream] = actors.ask(self._ref, GetService(name))
+        found: list[tables.Upstream] = actors.ask(self._ref, GetReplicas(name))
         return found
 
     def get_report(self) -> Report:
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -226,7 +226,7 @@
             if key in self.network.bindings and self.network.bindings[key].limit
         }
 
-    def get_services(self, name: str, now_s: float) -> list[tables.Upstream]:
+    def get_replicas(self, name: str, now_s: float) -> list[tables.Upstream]:
         """Returns a plain service's usable replicas in order of preference."""
         found = self.network.list_usable(name)
         self._rng.shuffle(found)
@@ -275,7 +275,7 @@
         )
         self._count_crashes(now_s)
 
-    def list_ended(self, now_s: float) -> dict[str, dict[str, float]]:
+    def list_crashes(self, now_s: float) -> dict[str, dict[str, float]]:
         """Returns crashed upstreams by request, for other hosts."""
         return self.quarantine.list_told(MAX_ADVERTISED_REQUESTS, now_s)
 
--- a/tests/steps/crashing_router_steps.py
+++ b/tests/steps/crashing_router_steps.py
@@ -117,7 +117,7 @@
 
 @then("its router tells others of {count:d} ends")
 def step_tells(context: Any, count: int) -> None:
-    context.told = context.router.list_ended(context.now_s)
+    context.told = context.router.list_crashes(context.now_s)
     assert len(context.told[crashes.FATAL]) == count, context.told
 
 
