--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -423,7 +423,9 @@
 
     def _refresh_hosts(self) -> None:
         remote = self._config.read(
-            lambda s: tables.find_remote(s, self._cfg.node.data_centre)
+            lambda s: tables.find_remote_data_centres(
+                s, self._cfg.node.data_centre
+            )
         )
         if not self._hosts.refresh(remote):
             return
--- a/egretspur/routing/tables.py
+++ b/egretspur/routing/tables.py
@@ -140,7 +140,9 @@
     )
 
 
-def find_remote(state: states.State, data_centre: str) -> frozenset[str]:
+def find_remote_data_centres(
+    state: states.State, data_centre: str
+) -> frozenset[str]:
     """Returns the other data centres whose hosts the table needs."""
     needed = set()
     for binding in state.bindings.values():
