--- a/egretspur/routing/link.py
+++ b/egretspur/routing/link.py
@@ -18,10 +18,10 @@
 _LOG: Final = logging.getLogger(__name__)
 
 # Upper bound on the time that the daemon holds a report before it answers.
-WAIT_S: Final = 1.0
+LONG_POLL_S: Final = 1.0
 
 # Delay after a report that was not answered.
-PAUSE_S: Final = 0.25
+RETRY_DELAY_S: Final = 0.25
 
 
 class Link:
@@ -31,12 +31,12 @@
         self,
         control: str,
         traffic: traffics.Traffic,
-        updated: Callable[[tables.RoutingUpdate], None],
+        on_update: Callable[[tables.RoutingUpdate], None],
     ) -> None:
         self._control = control
         self._traffic = traffic
-        self._updated = updated
-        self._transport = transport.Transport(0.5, WAIT_S + 2.0)
+        self._on_update = on_update
+        self._transport = transport.Transport(0.5, LONG_POLL_S + 2.0)
         self._stop = threading.Event()
         self._version = 0
         self._table_version = 0
@@ -65,11 +65,11 @@
         while not self._stop.is_set():
             update = self._send(self._version)
             if update is None:
-                self._stop.wait(PAUSE_S)
+                self._stop.wait(RETRY_DELAY_S)
                 continue
             self._version = update.version
             self._table_version = update.table_version
-            self._updated(update)
+            self._on_update(update)
             self._traffic.tell(update)
 
     def _send(self, version: int) -> tables.RoutingUpdate | None:
