--- a/tests/routing/routers.py
+++ b/tests/routing/routers.py
@@ -42,8 +42,8 @@
     # Last stages that report that they are leaving.
     leaving: set[str] = attrs.Factory(set)
     # Requests that a router sent to a stage within its backoff.
-    unrested: int = 0
-    due: list[tuple[float, Callable[[], None]]] = attrs.Factory(list)
+    sent_in_backoff: int = 0
+    pending: list[tuple[float, Callable[[], None]]] = attrs.Factory(list)
     count: int = 0
 
     def add(self, count: int) -> None:
@@ -73,7 +73,7 @@
                     newest[start] = told
         for router in self.routers:
             update = self._make_update(newest)
-            self._take(router, router.update(update, self.now_s))
+            self._run_effects(router, router.update(update, self.now_s))
 
     def _make_update(
         self, limits: dict[str, throttle.Told]
@@ -109,39 +109,41 @@
         next_update_s = self.now_s + UPDATE_S
         while self.now_s < end_s:
             self.now_s += STEP_S
-            now = [d for d in self.due if d[0] <= self.now_s]
-            self.due = [d for d in self.due if d[0] > self.now_s]
+            now = [d for d in self.pending if d[0] <= self.now_s]
+            self.pending = [d for d in self.pending if d[0] > self.now_s]
             for _, work in now:
                 work()
             if self.now_s >= next_update_s:
                 next_update_s += UPDATE_S
                 self.update()
             for router in self.routers:
-                self._take(router, router.tick(self.now_s))
+                self._run_effects(router, router.tick(self.now_s))
             for _ in range(int(rate * STEP_S + self.rng.random())):
                 self.count += 1
                 router = self.rng.choice(self.routers)
                 arrival = requests.Arrival(f"q{self.count}", "w", "m")
-                self._take(router, router.arrive(arrival, self.now_s))
+                self._run_effects(router, router.arrive(arrival, self.now_s))
 
-    def _take(
+    def _run_effects(
         self, router: dispatch.Dispatcher, effects: list[requests.Effect]
     ) -> None:
         for effect in effects:
             if isinstance(effect, questions.Refuse):
                 self.refused.append(effect)
                 continue
-            self._reach(router, effect)
+            self._deliver(router, effect)
 
-    def _reach(
+    def _deliver(
         self, router: dispatch.Dispatcher, grant: requests.Grant
     ) -> None:
         last = grant.path.edges[-1].upstream
         self.reached.setdefault(last, []).append(self.now_s)
         answer = signals.Signals(
-            self.limits.get(last), self.away.get(last), last in self.leaving
+            self.limits.get(last),
+            self.away.get(last),
+            last in self.leaving,
         )
-        self.unrested += any(
+        self.sent_in_backoff += any(
             name == last
             and who is router
             and 0.5 <= self.now_s - at_s < self.away.get(name, 0.0)
@@ -153,18 +155,18 @@
             failure = requests.Failure(
                 grant.id, "busy", (last,), True, "", False, 0
             )
-            self._take(router, router.fail(failure, self.now_s))
+            self._run_effects(router, router.fail(failure, self.now_s))
             return
 
         def begin() -> None:
             _, effects = router.note_signals(last, answer, self.now_s)
-            self._take(router, effects)
+            self._run_effects(router, effects)
 
         def end() -> None:
-            self._take(router, router.finish(grant.id, self.now_s, True))
+            self._run_effects(router, router.finish(grant.id, self.now_s, True))
 
-        self.due.append((self.now_s + 0.03, begin))
-        self.due.append((self.now_s + ANSWER_S, end))
+        self.pending.append((self.now_s + 0.03, begin))
+        self.pending.append((self.now_s + ANSWER_S, end))
 
     def find_worst(self, name: str, since_s: float, window_s: float) -> int:
         """Returns the most requests that reached a stage within any window.
--- a/tests/steps/routers_steps.py
+++ b/tests/steps/routers_steps.py
@@ -81,7 +81,7 @@
 @then("no router sends it a request within its backoff")
 def step_rested(context: Any) -> None:
     assert context.routers.backoffs
-    assert not context.routers.unrested
+    assert not context.routers.sent_in_backoff
 
 
 @when("the last stage of one reports in its answers that it is leaving")
