--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -36,7 +36,8 @@
 # seconds, is read once a second, and reaches the router within one more.
 CUT_CAUSE_TIMEOUT_S: Final = 5.0
 
-# Limit on the requests that crashed upstreams sent in one peer update.
+# Maximum number of requests in a report to the control daemon, for other hosts,
+# under which upstreams crashed.
 MAX_ADVERTISED_REQUESTS: Final = 16
 
 
--- a/egretspur/routing/network.py
+++ b/egretspur/routing/network.py
@@ -110,8 +110,7 @@
     def make_incarnation_id(self, name: str) -> str:
         """Returns the id of an upstream's current incarnation."""
         upstream = self.upstreams.get(name)
-        incarnation = upstream.incarnation if upstream else ""
-        return f"{name}{INCARNATION_SEPARATOR}{incarnation}"
+        return f"{name}{INCARNATION_SEPARATOR}{upstream.incarnation if upstream else ''}"
 
     def note_backoff(self, name: str, backoff_s: float, now_s: float) -> None:
         """Records that an upstream asked this router to back off."""
@@ -123,12 +122,12 @@
         self._backoffs[incarnation_id] = until_s
 
     def get_backoff_s(self, name: str, now_s: float) -> float:
-        """Returns the rest of an upstream's backoff, in seconds."""
+        """Returns the remaining backoff of an upstream, in seconds."""
         until_s = self._backoffs.get(self.make_incarnation_id(name), now_s)
         return max(0.0, until_s - now_s)
 
     def list_backing_off(self, now_s: float) -> frozenset[str]:
-        """Returns the upstreams with a backoff."""
+        """Returns the upstreams that are in a backoff."""
         if not self._backoffs:
             return frozenset()
         return frozenset(
--- a/tests/routing/leaving.feature
+++ b/tests/routing/leaving.feature
@@ -1,6 +1,6 @@
 Feature: A leaving upstream gets no new work
 
-  Scenario: The engine reports it long before the platform's list
+  Scenario: An engine reports that it leaves long before the platform's list
     # Guards against failed requests on an engine that reported that it is
     # leaving: routers rely only on the platform's list, which lags by minutes,
     # and ignore that the engine refuses a request as leaving.
--- a/tests/routing/routers.py
+++ b/tests/routing/routers.py
@@ -65,12 +65,12 @@
         """Sends each router an update with the latest state of all routers."""
         newest: dict[str, throttle.Told] = {}
         for router in self.routers:
-            for start, told in router.availability.throttle.list_told(
+            for start, limit in router.availability.throttle.list_told(
                 self.now_s
             ).items():
                 known = newest.get(start)
-                if known is None or told.age_s < known.age_s:
-                    newest[start] = told
+                if known is None or limit.age_s < known.age_s:
+                    newest[start] = limit
         for router in self.routers:
             update = self._make_update(newest)
             self._run_effects(router, router.update(update, self.now_s))
