--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -185,7 +185,7 @@
         if table is not None and self.network.apply_table(table):
             self._shares.divisors = table.shares
         self.network.mark_leaving(message.leaving, now_s)
-        self._shares.apply_update(message.demand, message.listed, now_s)
+        self._shares.update_demand(message.demand, message.listed, now_s)
         self.network.rebuild()
         self.quarantine.hear(message.ended, now_s)
         self._count_crashes(now_s)
--- a/egretspur/routing/network.py
+++ b/egretspur/routing/network.py
@@ -21,7 +21,7 @@
 
 
 # Separates an upstream's name from its incarnation in an incarnation id.
-INCARNATION_SEPARATOR: Final = "@"
+ID_SEPARATOR: Final = "@"
 
 
 class Network:
@@ -110,7 +110,7 @@
     def make_incarnation_id(self, name: str) -> str:
         """Returns the id of an upstream's current incarnation."""
         upstream = self.upstreams.get(name)
-        return f"{name}{INCARNATION_SEPARATOR}{upstream.incarnation if upstream else ''}"
+        return f"{name}{ID_SEPARATOR}{upstream.incarnation if upstream else ''}"
 
     def note_backoff(self, name: str, backoff_s: float, now_s: float) -> None:
         """Records that an upstream asked this router to back off."""
@@ -140,7 +140,7 @@
         The upstream is not probed: the platform's list shows its next
         incarnation some seconds later.
         """
-        name = incarnation_id.rpartition(INCARNATION_SEPARATOR)[0]
+        name = incarnation_id.rpartition(ID_SEPARATOR)[0]
         if (
             name not in self.upstreams
             or self.make_incarnation_id(name) != incarnation_id
--- a/egretspur/routing/shares.py
+++ b/egretspur/routing/shares.py
@@ -35,10 +35,10 @@
     # Monotonic time since which demand exceeds an even share, by binding key.
     _over_share_since_s: dict[str, float] = attrs.Factory(dict)
 
-    def apply_update(
+    def update_demand(
         self, demand: Mapping[str, Mapping[str, int]], listed: int, now_s: float
     ) -> None:
-        """Applies an update on the other routers."""
+        """Applies the demand of the other routers."""
         self.demand = demand
         self.listed = max(1, listed)
         self.updated_at_s = now_s
