--- a/egretspur/claims/calls.py
+++ b/egretspur/claims/calls.py
@@ -84,7 +84,7 @@
             return errors.Refusal(
                 errors.ErrorKind.UNKNOWN_SERVICE, repr(call.service)
             )
-        if self._traffic.is_held(call.fingerprint):
+        if self._traffic.is_quarantined(call.fingerprint):
             return errors.Refusal(
                 errors.ErrorKind.QUARANTINED,
                 "replicas ended under it before",
@@ -97,11 +97,11 @@
     def _run_repeatable(self, call: Call) -> Result:
         last: transport.Failed | None = None
         closed: list[str] = []
-        replicas = self._traffic.get_services(call.service)
+        replicas = self._traffic.get_replicas(call.service)
         # A single replica is tried again: its first connection may have been
         # forgotten by something in between, and the pool is emptied by now.
         for upstream in (replicas * TRIES)[:TRIES]:
-            if not self._traffic.take_turn(upstream.name):
+            if not self._traffic.acquire_permit(upstream.name):
                 closed.append(upstream.name)
                 continue
             res = self._client.call(upstream.address, call.call)
@@ -125,7 +125,7 @@
         )
 
     def _run_once(self, call: Call, opts: settings.ServiceSettings) -> Result:
-        replicas = self._traffic.get_services(call.service)
+        replicas = self._traffic.get_replicas(call.service)
         if not replicas:
             return _refuse_no_replica(call)
         if not call.has_own_id:
@@ -161,7 +161,7 @@
     ) -> Result:
         closed: list[str] = []
         for upstream in replicas:
-            if not self._traffic.take_turn(upstream.name):
+            if not self._traffic.acquire_permit(upstream.name):
                 closed.append(upstream.name)
                 continue
             res = self._client.call(upstream.address, call.call)
@@ -194,7 +194,7 @@
         of one service usually share what they know. It is never sent again,
         even if none has seen it: it may still be on its way.
         """
-        others = self._traffic.get_services(call.service)
+        others = self._traffic.get_replicas(call.service)
         asked = [upstream, *(u for u in others if u.name != upstream.name)]
         found = self._ask_outcome(call, opts, asked)
         if found is not None:
@@ -230,7 +230,7 @@
         if not opts.outcome_path:
             return None
         for upstream in replicas:
-            if not self._traffic.take_turn(upstream.name):
+            if not self._traffic.acquire_permit(upstream.name):
                 continue
             res = self._client.get_outcome(
                 upstream.address, opts.outcome_path, call.request_id
@@ -245,7 +245,7 @@
         return errors.Refusal(
             errors.ErrorKind.UPSTREAM_LIMITED,
             f"{len(closed)} replicas at their limits, or in backoff",
-            self._traffic.promise_turn(service, tuple(closed)),
+            self._traffic.get_retry_after_s(service, tuple(closed)),
         )
 
     def _note_call(
--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -1,7 +1,7 @@
 """Actor that owns a router's `Dispatcher` and runs its effects.
 
-Request threads talk to it through `Traffic`. Tokens never pass through it;
-a request costs it a few messages in all.
+Request threads reach it through `Traffic`. A request costs it a few messages
+in all, since tokens do not pass through it.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Arrive:
-    """A request with the future that its thread waits on."""
+    """Submits a request; its thread waits on the future."""
 
     arrival: requests.Arrival
     fut: DecisionFuture
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Fail:
-    """A failed attempt with the future for what comes next."""
+    """Reports a failed attempt; the future receives the next decision."""
 
     failure: requests.Failure
     fut: DecisionFuture
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class Finish:
-    """A request is over."""
+    """Reports that a request has ended."""
 
     id: str
     is_answered: bool
@@ -51,26 +51,26 @@
 
 @attrs.frozen
 class Tick:
-    """Time passed."""
+    """Triggers the dispatcher's periodic work."""
 
 
 @attrs.frozen
-class GetService:
+class GetReplicas:
     """Asks for the replicas of a plain service."""
 
     name: str
 
 
 @attrs.frozen
-class IsHeld:
-    """Asks whether a request or call may not be sent."""
+class IsQuarantined:
+    """Asks whether a request or call is quarantined."""
 
     fingerprint: str
 
 
 @attrs.frozen
 class NoteCall:
-    """A call was answered by a plain service, or its answer is lost."""
+    """Reports whether a plain service answered a call or the answer is lost."""
 
     upstream: str
     fingerprint: str
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class NoteService:
-    """A plain service answered or did not."""
+    """Reports whether a plain service answered."""
 
     upstream: str
     is_ok: bool
@@ -87,22 +87,22 @@
 
 @attrs.frozen
 class NoteSignals:
-    """An upstream asked something of the hosts beside an answer."""
+    """Reports an upstream's limit, backoff or leaving signals."""
 
     upstream: str
     answer: signals.Signals
 
 
 @attrs.frozen
-class TakeTurn:
-    """Asks whether a plain service's replica may be sent a call now."""
+class AcquirePermit:
+    """Asks for a permit to send a call to a plain service's replica now."""
 
     upstream: str
 
 
 @attrs.frozen
-class PromiseTurn:
-    """Asks when a call may come back that none of some replicas takes."""
+class GetRetryAfter:
+    """Asks when to retry a call that none of these replicas accepts."""
 
     service: str
     upstreams: tuple[str, ...]
@@ -115,7 +115,7 @@
 
 @attrs.frozen
 class Report:
-    """What the control daemon is told."""
+    """The router's part of its report to the control daemon."""
 
     in_force: int
     leaving: tuple[tables.LeavingMark, ...]
@@ -150,19 +150,19 @@
     saved_retries: float
     upstreams: tuple[UpstreamDump, ...]
     leaving: dict[str, tuple[str, ...]]
-    # Requests that are sent to no upstream, with the starts that ended.
+    # Quarantined requests, with the upstream incarnations that crashed.
     quarantine: dict[str, dict[str, float]]
 
 
 class TrafficActor(actors.Actor):
-    """Holds the dispatcher; see the messages above."""
+    """Applies the messages above to the dispatcher."""
 
     def __init__(
-        self, dispatcher: dispatch.Dispatcher, marked: Callable[[], None]
+        self, dispatcher: dispatch.Dispatcher, on_urgent: Callable[[], None]
     ) -> None:
         super().__init__()
         self._dispatcher = dispatcher
-        self._marked = marked
+        self._on_urgent = on_urgent
         self._questions: questions.Questions[requests.Grant] = (
             questions.Questions()
         )
@@ -184,7 +184,7 @@
         now = time.monotonic()
         self._questions.run(self._dispatcher.fail(message.failure, now))
         if message.failure.leaving:
-            self._marked()
+            self._on_urgent()
 
     @handle.register
     def _(self, message: Finish) -> None:
@@ -208,8 +208,8 @@
         self._questions.run(self._dispatcher.tick(time.monotonic()))
 
     @handle.register
-    def _(self, message: GetService) -> list[tables.Upstream]:
-        return self._dispatcher.get_services(message.name, time.monotonic())
+    def _(self, message: GetReplicas) -> list[tables.Upstream]:
+        return self._dispatcher.get_replicas(message.name, time.monotonic())
 
     @handle.register
     def _(self, message: NoteService) -> None:
@@ -218,7 +218,7 @@
         )
 
     @handle.register
-    def _(self, message: IsHeld) -> bool:
+    def _(self, message: IsQuarantined) -> bool:
         return self._dispatcher.quarantine.is_held(message.fingerprint)
 
     @handle.register
@@ -237,16 +237,16 @@
         )
         self._questions.run(effects)
         if is_new:
-            self._marked()
+            self._on_urgent()
 
     @handle.register
-    def _(self, message: TakeTurn) -> bool:
+    def _(self, message: AcquirePermit) -> bool:
         state = self._dispatcher.availability
-        return state.take_turn(message.upstream, time.monotonic())
+        return state.acquire_permit(message.upstream, time.monotonic())
 
     @handle.register
-    def _(self, message: PromiseTurn) -> float:
-        return self._dispatcher.availability.promise_turn(
+    def _(self, message: GetRetryAfter) -> float:
+        return self._dispatcher.availability.get_retry_after_s(
             message.service, message.upstreams, time.monotonic()
         )
 
@@ -261,7 +261,7 @@
             self._dispatcher.network.offset,
             marks,
             self._dispatcher.get_demand(),
-            self._dispatcher.list_ended(time.monotonic()),
+            self._dispatcher.list_crashes(time.monotonic()),
             self._dispatcher.availability.throttle.list_told(time.monotonic()),
         )
 
@@ -289,49 +289,49 @@
         )
 
     def note_failed(self, message: Any) -> None:
-        """Answers the request that could not be decided on."""
+        """Refuses the request whose handling raised an exception."""
         questions.answer_failed(message)
 
 
 class Traffic:
-    """Typed front of the actor for request threads."""
+    """Typed interface to the actor for request threads."""
 
     def __init__(
-        self, dispatcher: dispatch.Dispatcher, marked: Callable[[], None]
+        self, dispatcher: dispatch.Dispatcher, on_urgent: Callable[[], None]
     ) -> None:
         """Starts the actor.
 
         Args:
             dispatcher: Owned by the actor from now on.
-            marked: Called when an upstream said something that the other
-                hosts are to be told at once.
+            on_urgent: Called when an upstream's signal must reach the other
+                hosts at once.
         """
         self._throttle = dispatcher.availability.throttle
-        self._ref = TrafficActor.start(dispatcher, marked)
+        self._ref = TrafficActor.start(dispatcher, on_urgent)
 
     def close(self) -> None:
         """Stops the actor."""
         self._ref.stop()
 
     def arrive(self, arrival: requests.Arrival) -> DecisionFuture:
-        """Hands in a request; the future gives its first path or refusal."""
+        """Submits a request; the future gives its first path or refusal."""
         fut: DecisionFuture = concurrent.futures.Future()
         self._ref.tell(Arrive(arrival, fut))
         return fut
 
     def fail(self, failure: requests.Failure) -> DecisionFuture:
-        """Reports a failed attempt; the future gives the next path."""
+        """Reports a failed attempt; the future gives a new path or refusal."""
         fut: DecisionFuture = concurrent.futures.Future()
         self._ref.tell(Fail(failure, fut))
         return fut
 
     def finish(self, request_id: str, is_answered: bool) -> None:
-        """Reports that a request is over, its answer whole or given up."""
+        """Reports that a request was answered completely or has ended."""
         self._ref.tell(Finish(request_id, is_answered))
 
-    def is_held(self, fingerprint: str) -> bool:
-        """Tells whether a request or call may not be sent."""
-        held: bool = actors.ask(self._ref, IsHeld(fingerprint))
+    def is_quarantined(self, fingerprint: str) -> bool:
+        """Returns whether a request or call is quarantined."""
+        held: bool = actors.ask(self._ref, IsQuarantined(fingerprint))
         return held
 
     def tell(
@@ -346,27 +346,31 @@
         self._ref.tell(message)
 
     def note_signals(self, upstream: str, answer: signals.Signals) -> None:
-        """Takes what an answer asks of the hosts; most ask nothing."""
+        """Reports the signals of an answer; most answers have none."""
         if answer != signals.NONE or self._throttle.limited:
             self._ref.tell(NoteSignals(upstream, answer))
 
-    def take_turn(self, upstream: str) -> bool:
-        """Takes a turn at a replica, if it takes a call now."""
-        is_taken: bool = actors.ask(self._ref, TakeTurn(upstream))
+    def acquire_permit(self, upstream: str) -> bool:
+        """Acquires a permit if a replica accepts a call now."""
+        is_taken: bool = actors.ask(self._ref, AcquirePermit(upstream))
         return is_taken
 
-    def promise_turn(self, service: str, upstreams: tuple[str, ...]) -> float:
-        """Returns the seconds until a call that none took may come back."""
-        after_s: float = actors.ask(self._ref, PromiseTurn(service, upstreams))
+    def get_retry_after_s(
+        self, service: str, upstreams: tuple[str, ...]
+    ) -> float:
+        """Returns the seconds after which a caller refused by all may retry."""
+        after_s: float = actors.ask(
+            self._ref, GetRetryAfter(service, upstreams)
+        )
         return after_s
 
-    def get_services(self, name: str) -> list[tables.Upstream]:
-        """Returns a plain service's replicas, least busy first."""
-        found: list[tables.Upstream] = actors.ask(self._ref, GetService(name))
+    def get_replicas(self, name: str) -> list[tables.Upstream]:
+        """Returns a plain service's replicas, available and idle ones first."""
+        found: list[tables.Upstream] = actors.ask(self._ref, GetReplicas(name))
         return found
 
     def get_report(self) -> Report:
-        """Returns what the control daemon is to be told."""
+        """Returns the router's part of its report to the control daemon."""
         report: Report = actors.ask(self._ref, GetReport())
         return report
 
--- a/egretspur/routing/availability.py
+++ b/egretspur/routing/availability.py
@@ -1,8 +1,9 @@
-"""What upstreams ask of one router in their answers, and who takes work: pure.
+"""Availability of upstreams by the signals in their answers: pure.
 
-Limits of requests a second, rest, and an upstream's own word that it leaves.
-All of it is kept by starts of upstreams; see `network.Network.name_start`. Read
-next: `egretspur.admission.throttle`, `egretspur.routing.dispatch`.
+An upstream may ask a router for a rate limit or a backoff, or report that it is
+leaving. Signals are kept by incarnation; see
+`network.Network.make_incarnation_id`. Read next:
+`egretspur.admission.throttle`, `egretspur.routing.dispatch`.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 
 
 class Availability:
-    """See the module's docstring."""
+    """Signals of upstreams to one router; see the module's docstring."""
 
     def __init__(
         self, data_centre: str, network: networks.Network, rng: random.Random
     ) -> None:
-        """Makes a state in which no upstream has asked for anything.
+        """Creates a state without signals.
 
         Args:
-            data_centre: Of this router.
-            network: The upstreams, with their backoffs and marks of leaving.
-            rng: Draws first turns.
+            data_centre: Data centre of this router.
+            network: The upstreams, with their backoffs and leaving marks.
+            rng: Source of random times for the first send to an upstream.
         """
         self.throttle = throttle.Throttle(data_centre, rng)
         self._network = network
@@ -37,10 +38,10 @@
     def note_signals(
         self, name: str, answer: signals.Signals, now_s: float
     ) -> bool:
-        """Takes what an upstream asked of the hosts beside an answer.
+        """Applies the signals of an upstream's answer.
 
         Returns:
-            Whether the other hosts are to be told.
+            Whether to notify the other hosts.
         """
         for value in (answer.per_s, answer.backoff_s):
             if isinstance(value, signals.Unreadable):
@@ -50,90 +51,108 @@
         if isinstance(answer.backoff_s, float):
             self._network.note_backoff(name, answer.backoff_s, now_s)
         is_new = answer.is_leaving and self._network.note_leaving(name, now_s)
-        start = self._network.name_start(name)
+        incarnation_id = self._network.make_incarnation_id(name)
         per_s = answer.per_s
         if not isinstance(per_s, signals.Unreadable) and self.throttle.note(
-            start, per_s, now_s
+            incarnation_id, per_s, now_s
         ):
             is_new = True
-            decisions.record(decisions.UpstreamLimited(start, per_s, True))
+            decisions.record(
+                decisions.UpstreamLimited(incarnation_id, per_s, True)
+            )
         return is_new
 
-    def hear(self, message: tables.RoutingUpdate, now_s: float) -> None:
-        """Takes limits that other hosts were told by upstreams."""
+    def apply_update(self, message: tables.RoutingUpdate, now_s: float) -> None:
+        """Applies the limits and host count of a control daemon's update."""
         self.throttle.demand.hosts = max(1, message.listed, message.sharing)
-        listed = {self._network.name_start(n) for n in self._network.upstreams}
-        for start, told in message.limits.items():
-            if start in listed and self.throttle.hear(
-                "", "", start, told, now_s
+        listed = {
+            self._network.make_incarnation_id(n)
+            for n in self._network.upstreams
+        }
+        for incarnation_id, limit in message.limits.items():
+            if incarnation_id in listed and self.throttle.hear(
+                "", "", incarnation_id, limit, now_s
             ):
                 decisions.record(
-                    decisions.UpstreamLimited(start, told.per_s, False)
+                    decisions.UpstreamLimited(
+                        incarnation_id, limit.per_s, False
+                    )
                 )
         self.throttle.forget(listed)
 
     def is_open(self, name: str, now_s: float) -> bool:
-        """Tells whether an upstream takes a request of this router now."""
+        """Returns whether an upstream accepts a request of this router now."""
         return not self._network.get_backoff_s(
             name, now_s
-        ) and self.throttle.is_open(self._network.name_start(name), now_s)
+        ) and self.throttle.is_open(
+            self._network.make_incarnation_id(name), now_s
+        )
 
     def list_closed(self, now_s: float) -> frozenset[str]:
-        """Returns the upstreams that take none, where any has a limit."""
+        """Returns the upstreams that accept no request now.
+
+        Empty if no upstream has a rate limit; `Network.list_backing_off` has
+        the backoffs.
+        """
         if not self.throttle.limited:
             return frozenset()
         return frozenset(
             n for n in self._network.upstreams if not self.is_open(n, now_s)
         )
 
-    def take(self, name: str, now_s: float) -> None:
-        """Counts a request that is sent to an upstream."""
-        self.throttle.take(self._network.name_start(name), now_s)
+    def consume_permit(self, name: str, now_s: float) -> None:
+        """Counts a request sent to an upstream against its limit."""
+        self.throttle.take(self._network.make_incarnation_id(name), now_s)
 
-    def take_turn(self, name: str, now_s: float) -> bool:
-        """Takes a turn at a plain service's replica, if it takes a call now."""
+    def acquire_permit(self, name: str, now_s: float) -> bool:
+        """Acquires a permit if a plain service's replica accepts a call now."""
         if not self.is_open(name, now_s):
             return False
-        self.take(name, now_s)
+        self.consume_permit(name, now_s)
         return True
 
-    def promise_turn(
+    def get_retry_after_s(
         self, service: str, names: Collection[str], now_s: float
     ) -> float:
-        """Returns when a call may come back that none of these took.
+        """Returns the seconds after which a caller refused by all may retry.
 
-        In seconds; 0 where they take calls again by now.
+        0 if one of these replicas accepts calls again.
         """
         opening = self.find_opening(names, now_s)
         if opening is None:
             return 0.0
-        return self.promise(service, opening, 0, now_s)
+        return self.reserve_retry(service, opening, 0, now_s)
 
     def find_opening(
         self, names: Collection[str], now_s: float
     ) -> throttle.Opening | None:
-        """Returns when one of these upstreams takes more.
+        """Returns when one of these upstreams accepts more requests.
 
-        None where one is held back by neither a limit nor a rest.
+        None unless all of them are in a backoff or all have a limit.
         """
         backoff_s = min(
             (self._network.get_backoff_s(n, now_s) for n in names), default=0.0
         )
         if backoff_s:
             return throttle.Opening(backoff_s, math.inf)
-        starts = {self._network.name_start(n) for n in names}
-        if not starts <= self.throttle.limited:
+        ids = {self._network.make_incarnation_id(n) for n in names}
+        if not ids <= self.throttle.limited:
             return None
-        return self.throttle.find_opening(starts, now_s)
+        return self.throttle.find_opening(ids, now_s)
 
-    def promise(
+    def reserve_retry(
         self, key: str, opening: throttle.Opening, waiting: int, now_s: float
     ) -> float:
-        """Returns when one more caller may come back; see `returns.Returns`."""
+        """Returns the seconds until one more caller retries.
+
+        See `returns.Returns`.
+        """
         return self._returns.promise(key, opening, waiting, now_s)
 
     def _note_unreadable(self, name: str, value: signals.Unreadable) -> None:
-        if self.throttle.note_unreadable(self._network.name_start(name)):
+        if self.throttle.note_unreadable(
+            self._network.make_incarnation_id(name)
+        ):
             decisions.record(
                 decisions.EntryLeftOut(
                     "answers", name, value.field, value.problem
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -1,8 +1,8 @@
 """All decisions about a router's requests, as one pure state machine.
 
-It joins the graphs, loads, queue, limits and retry budget. Its methods take a
-message and the time and return effects; `egretspur.routing.actor` runs them,
-and the fuzzing drives the same code without threads or sockets.
+Combines the graphs, loads, queue, limits and retry budget. Its methods take a
+message and the time and return effects. `egretspur.routing.actor` runs the
+effects; the fuzz tests drive the same code without threads or sockets.
 """
 
 from __future__ import annotations
@@ -29,19 +29,20 @@
 )
 from egretspur.routing import graph as graphs
 
-# Times a request is sent back to the queue because its upstream was busy.
-BUSY_TRIES: Final = 20
+# How often a request returns to the queue because its upstream was busy.
+MAX_BUSY_REQUEUES: Final = 20
 
-# How long a cut may stay unexplained: the platform's list lags by two seconds
-# and is read once a second, and the router hears of it within one more.
-SETTLE_S: Final = 5.0
+# How long the cause of a cut may stay unknown: the platform's list lags by two
+# seconds, is read once a second, and reaches the router within one more.
+CUT_CAUSE_TIMEOUT_S: Final = 5.0
 
-# Requests under which upstreams ended that other hosts are told of.
-ENDED_TOLD: Final = 16
+# Maximum number of requests in a report to the control daemon, for other hosts,
+# under which upstreams crashed.
+MAX_ADVERTISED_REQUESTS: Final = 16
 
 
 class Dispatcher:
-    """State of one router; see the module's docstring."""
+    """Request state of one router; see the module's docstring."""
 
     def __init__(
         self,
@@ -57,7 +58,7 @@
         self._retries = retries
         self._rng = rng
         self.queue = queues.Queue(limit_opts.queue_length)
-        self.quarantine = quarantines.Quarantine(SETTLE_S)
+        self.quarantine = quarantines.Quarantine(CUT_CAUSE_TIMEOUT_S)
         self.budget = budgets.Budget(retries.ratio, retries.burst)
         self.network = network.Network(data_centre, rng)
         self.availability = availability.Availability(
@@ -69,7 +70,7 @@
         self._shares = shares.WorkspaceShares(
             name, limit_opts.settle_s, timing.deadline_s
         )
-        # Time of the message being handled.
+        # Monotonic time of the message being handled.
         self._now_s = 0.0
 
     # Messages from callers.
@@ -113,31 +114,31 @@
     def fail(
         self, failure: requests.Failure, now_s: float
     ) -> list[requests.Effect]:
-        """Decides what follows a failed attempt."""
+        """Retries, resumes or refuses a request after a failed attempt."""
         self._now_s = now_s
         ticket = self.tickets.get(failure.id)
         if ticket is None:
             return []
-        path = self._release(ticket)
+        path = self._release_path(ticket)
         ticket.begun = ticket.begun or failure.delivered > 0
         ticket.maybe_started |= failure.maybe_started or ticket.begun
         if failure.busy:
             return self._handle_busy(ticket, path, failure, now_s)
-        self.network.blame(ticket, path, failure, now_s)
-        if failure.is_cut and ticket.starts:
+        self.network.record_failure(ticket, path, failure, now_s)
+        if failure.is_cut and ticket.incarnation_ids:
             self.quarantine.note_cut(
                 quarantines.Cut(
                     ticket.arrival.fingerprint,
-                    ticket.starts,
+                    ticket.incarnation_ids,
                     failure.has_brought,
                     now_s,
                 ),
                 now_s,
             )
-            self._settle(now_s)
+            self._count_crashes(now_s)
         if self.quarantine.is_held(ticket.arrival.fingerprint):
             return [
-                *self._refuse_held(failure.id, failure.reason, now_s),
+                *self._refuse_quarantined(failure.id, failure.reason, now_s),
                 *self._start_waiting(now_s),
             ]
         if ticket.attempts >= self._retries.attempts:
@@ -151,7 +152,7 @@
         return [*self._admit(ticket, now_s), *self._start_waiting(now_s)]
 
     def progress(self, message: requests.Progress, now_s: float) -> None:
-        """Learns from tokens that came."""
+        """Updates load and speed estimates from received tokens."""
         ticket = self.tickets.get(message.id)
         if ticket is None or ticket.path is None:
             return
@@ -160,7 +161,7 @@
     def finish(
         self, request_id: str, now_s: float, is_answered: bool = False
     ) -> list[requests.Effect]:
-        """Ends a request; its answer was whole, or its caller gave it up."""
+        """Ends a request that was answered completely or cancelled."""
         self._now_s = now_s
         ticket = self.tickets.pop(request_id, None)
         if ticket is None:
@@ -168,7 +169,7 @@
         if is_answered:
             self.quarantine.note_answered(ticket.arrival.fingerprint, now_s)
         queues.remove(self.queue, request_id)
-        if self._release(ticket) is not None:
+        if self._release_path(ticket) is not None:
             queues.note_done(self.queue, ticket.graph, now_s)
         self.counts.finished += 1
         return self._start_waiting(now_s)
@@ -178,21 +179,24 @@
     def update(
         self, message: tables.RoutingUpdate, now_s: float
     ) -> list[requests.Effect]:
-        """Takes a new table, marks and demand."""
+        """Applies an update from the control daemon."""
         self._now_s = now_s
         table = message.table
-        if table is not None and self.network.take_table(table):
+        if table is not None and self.network.apply_table(table):
             self._shares.divisors = table.shares
         self.network.mark_leaving(message.leaving, now_s)
-        self._shares.note(message.demand, message.listed, now_s)
+        self._shares.update_demand(message.demand, message.listed, now_s)
         self.network.rebuild()
         self.quarantine.hear(message.ended, now_s)
-        self._settle(now_s)
-        self.availability.hear(message, now_s)
-        return [*self._refuse_waiting(now_s), *self._start_waiting(now_s)]
+        self._count_crashes(now_s)
+        self.availability.apply_update(message, now_s)
+        return [
+            *self._refuse_quarantined_waiting(now_s),
+            *self._start_waiting(now_s),
+        ]
 
     def tick(self, now_s: float) -> list[requests.Effect]:
-        """Refuses what came due, lets probes begin, starts what can."""
+        """Refuses expired requests, begins probes and starts waiting ones."""
         self._now_s = now_s
         effects: list[requests.Effect] = []
         for item in queues.expire(self.queue, now_s):
@@ -203,14 +207,14 @@
                 now_s,
                 retry_after_s=1.0,
             )
-        self._settle(now_s)
-        effects += self._refuse_waiting(now_s)
-        self.network.forget_marks(now_s)
+        self._count_crashes(now_s)
+        effects += self._refuse_quarantined_waiting(now_s)
+        self.network.expire_leaving_marks(now_s)
         self.network.begin_probes(self._shares.listed, now_s)
         return effects + self._start_waiting(now_s)
 
     def get_demand(self) -> dict[str, int]:
-        """Returns running and waiting requests by workspace with a limit."""
+        """Returns running plus waiting requests by binding with a limit."""
         demand = {
             key: count for key, count in self.running.items() if count > 0
         }
@@ -223,8 +227,8 @@
             if key in self.network.bindings and self.network.bindings[key].limit
         }
 
-    def get_services(self, name: str, now_s: float) -> list[tables.Upstream]:
-        """Returns a plain service's replicas that may be given a call."""
+    def get_replicas(self, name: str, now_s: float) -> list[tables.Upstream]:
+        """Returns a plain service's usable replicas in order of preference."""
         found = self.network.list_usable(name)
         self._rng.shuffle(found)
         found.sort(
@@ -238,49 +242,49 @@
     def note_signals(
         self, name: str, answer: signals.Signals, now_s: float
     ) -> tuple[bool, list[requests.Effect]]:
-        """Takes what an upstream asked of the hosts beside an answer.
+        """Applies the limit, backoff and leaving signals of an answer.
 
         Returns:
-            Whether the other hosts are to be told, and what follows.
+            Whether to notify the other hosts, and the effects to run.
         """
         self._now_s = now_s
         is_new = self.availability.note_signals(name, answer, now_s)
         return is_new, self._start_waiting(now_s) if is_new else []
 
     def note_service(self, name: str, is_ok: bool, now_s: float) -> None:
-        """Learns from a plain service's answer or its absence."""
+        """Records whether a plain service's replica answered."""
         self.network.note_result(name, is_ok, now_s)
 
     def note_call(
         self, name: str, fingerprint: str, is_answered: bool, now_s: float
     ) -> None:
-        """Learns how a call ended that a plain service has been sent.
+        """Records how a call to a plain service ended.
 
         Args:
-            name: The replica.
-            fingerprint: Of the call.
-            is_answered: Else its answer is lost, and the replica may have
-                ended.
+            name: Name of the replica.
+            fingerprint: Fingerprint of the call.
+            is_answered: False if the answer was lost; the replica may have
+                crashed.
             now_s: Monotonic time.
         """
         if is_answered:
             self.quarantine.note_answered(fingerprint, now_s)
             return
-        start = self.network.name_start(name)
+        incarnation_id = self.network.make_incarnation_id(name)
         self.quarantine.note_cut(
-            quarantines.Cut(fingerprint, (start,), False, now_s), now_s
+            quarantines.Cut(fingerprint, (incarnation_id,), False, now_s), now_s
         )
-        self._settle(now_s)
+        self._count_crashes(now_s)
 
-    def list_ended(self, now_s: float) -> dict[str, dict[str, float]]:
-        """Returns upstreams that ended under requests, for other hosts."""
-        return self.quarantine.list_told(ENDED_TOLD, now_s)
+    def list_crashes(self, now_s: float) -> dict[str, dict[str, float]]:
+        """Returns crashed upstreams by request, for other hosts."""
+        return self.quarantine.list_told(MAX_ADVERTISED_REQUESTS, now_s)
 
     # Decisions.
 
-    def _settle(self, now_s: float) -> None:
-        """Counts the upstreams that have turned out to have ended."""
-        self.quarantine.settle(self.network.look_at, now_s)
+    def _count_crashes(self, now_s: float) -> None:
+        """Counts the upstreams that are now known to have crashed."""
+        self.quarantine.settle(self.network.get_incarnation_state, now_s)
         for change in self.quarantine.take_changes():
             decisions.record(
                 decisions.QuarantineChanged(
@@ -291,47 +295,55 @@
                 )
             )
 
-    def _refuse_held(
+    def _refuse_quarantined(
         self, request_id: str, reason: str, now_s: float
     ) -> list[requests.Effect]:
-        """Refuses a request that may not be sent."""
+        """Refuses a quarantined request."""
         fingerprint = self.tickets[request_id].arrival.fingerprint
         queues.remove(self.queue, request_id)
         return self._refuse_ticket(
             request_id,
             errors.ErrorKind.QUARANTINED,
-            f"{reason}; upstreams ended under it",
+            f"{reason}; upstreams crashed while running it",
             now_s,
             self.quarantine.get_retry_after_s(fingerprint),
         )
 
-    def _refuse_waiting(self, now_s: float) -> list[requests.Effect]:
-        """Refuses those that wait and may not be sent any more."""
+    def _refuse_quarantined_waiting(
+        self, now_s: float
+    ) -> list[requests.Effect]:
+        """Refuses the waiting requests that have been quarantined."""
         return [
             effect
             for i in list(self.queue.waiting)
             if self.quarantine.is_held(self.tickets[i].arrival.fingerprint)
-            for effect in self._refuse_held(i, "waited", now_s)
+            for effect in self._refuse_quarantined(
+                i, "quarantined while waiting", now_s
+            )
         ]
 
     def _admit(
         self, ticket: requests.Ticket, now_s: float
     ) -> list[requests.Effect]:
         if self.quarantine.is_held(ticket.arrival.fingerprint):
-            return self._refuse_held(ticket.arrival.id, "known", now_s)
+            return self._refuse_quarantined(
+                ticket.arrival.id, "in quarantine", now_s
+            )
         item = self._make_waiting(ticket, now_s)
         graph = self.network.graphs.get(ticket.graph)
         if graph is None or not graph.size:
             if ticket.begun:
-                return self._wait_begun(ticket, item, now_s)
+                return self._requeue_begun(ticket, item, now_s)
             return self._refuse_ticket(
                 ticket.arrival.id,
                 errors.ErrorKind.NO_ROUTE,
                 "no upstreams hold all layers",
                 now_s,
             )
-        hold = self._make_hold()
-        if not self._has_rivals(item, hold) and not self._is_held(item, hold):
+        limit_check = self._make_limit_check()
+        if not self._has_eligible_waiting(
+            item, limit_check
+        ) and not self._is_at_limit(item, limit_check):
             grant = self._try_start(ticket, now_s)
             if grant is not None:
                 queues.note_start(self.queue, item.workspace)
@@ -342,9 +354,9 @@
         offered = queues.offer(self.queue, item, now_s)
         if isinstance(offered, errors.Refusal):
             if ticket.begun:
-                return self._wait_begun(ticket, item, now_s)
+                return self._requeue_begun(ticket, item, now_s)
             kind = offered.kind
-            if self._is_held(item, hold):
+            if self._is_at_limit(item, limit_check):
                 kind = errors.ErrorKind.LIMIT_REACHED
             return self._refuse_ticket(
                 item.id, kind, offered.reason, now_s, offered.retry_after_s
@@ -354,7 +366,7 @@
         return self._refuse_ticket(
             offered.evicted.id,
             errors.ErrorKind.QUEUE_FULL,
-            "gave way to a more urgent request or a smaller workspace's",
+            "evicted by a more urgent request or a smaller workspace's",
             now_s,
             1.0,
         )
@@ -366,8 +378,8 @@
         item: queues.Waiting,
         now_s: float,
     ) -> list[requests.Effect]:
-        """Refuses a request whose turn at its upstreams comes too late."""
-        opening = self.availability.find_opening(graph.last, now_s)
+        """Refuses a request whose rate-limited turn is after its deadline."""
+        opening = self.availability.find_opening(graph.last_stages, now_s)
         if opening is None or ticket.begun:
             return []
         waiting = sum(
@@ -380,16 +392,18 @@
             errors.ErrorKind.UPSTREAM_LIMITED,
             opening.describe(waiting),
             now_s,
-            self.availability.promise(item.graph, opening, waiting, now_s),
+            self.availability.reserve_retry(
+                item.graph, opening, waiting, now_s
+            ),
         )
 
-    def _wait_begun(
+    def _requeue_begun(
         self, ticket: requests.Ticket, item: queues.Waiting, now_s: float
     ) -> list[requests.Effect]:
-        """Queues a request whose caller has a part of the answer.
+        """Queues a request whose caller already has a part of the answer.
 
         It is queued even where a new one would be refused: a probe, a spare
-        or another's end may bring the rest before its new deadline.
+        or the end of another request may free a path before its new deadline.
         """
         ticket.deadline_s = now_s + self._timing.deadline_s
         self.queue.waiting[item.id] = attrs.evolve(
@@ -400,11 +414,12 @@
     def _start_waiting(self, now_s: float) -> list[requests.Effect]:
         effects: list[requests.Effect] = []
         stuck: set[str] = set()
-        hold = self._make_hold()
+        limit_check = self._make_limit_check()
         while self.queue.waiting:
             started = False
             for item in queues.order(
-                self.queue, lambda waiting: self._is_held(waiting, hold)
+                self.queue,
+                lambda waiting: self._is_at_limit(waiting, limit_check),
             ):
                 if item.graph in stuck:
                     continue
@@ -426,7 +441,7 @@
         binding = self.network.bindings.get(ticket.key)
         if graph is None or binding is None:
             return None
-        known = graphs.Known(
+        state = graphs.NetworkState(
             self.network.loads,
             self.network.links,
             now_s,
@@ -434,20 +449,20 @@
         )
         backing_off = self.network.list_backing_off(now_s)
         avoid = backing_off | ticket.failed | ticket.suspected
-        path = graphs.choose_path(graph, known, self._rng, avoid)
+        path = graphs.choose_path(graph, state, self._rng, avoid)
         if path is None and ticket.suspected:
             path = graphs.choose_path(
-                graph, known, self._rng, backing_off | ticket.failed
+                graph, state, self._rng, backing_off | ticket.failed
             )
         if path is None:
             return None
         for edge in path.edges:
             self.network.loads[edge.upstream].own += 1
         ticket.path = path
-        self.availability.take(path.edges[-1].upstream, now_s)
-        ticket.starts = tuple(
-            # The caller's answer comes from the last one.
-            self.network.name_start(e.upstream)
+        self.availability.consume_permit(path.edges[-1].upstream, now_s)
+        ticket.incarnation_ids = tuple(
+            # The last stage first: it sends the caller's answer.
+            self.network.make_incarnation_id(e.upstream)
             for e in reversed(path.edges)
         )
         ticket.attempts += 1
@@ -461,7 +476,7 @@
             self.network.deployments[graph.label],
         )
 
-    def _release(self, ticket: requests.Ticket) -> graphs.Path | None:
+    def _release_path(self, ticket: requests.Ticket) -> graphs.Path | None:
         path = ticket.path
         if path is None:
             return None
@@ -483,22 +498,22 @@
         failure: requests.Failure,
         now_s: float,
     ) -> list[requests.Effect]:
-        """Sends a request that an engine had no slot for back to the queue.
+        """Requeues a request that an engine refused for want of a slot.
 
-        The engine has not started it, so this is no retry; the refusal also
-        is the freshest load report there can be.
+        The engine has not started it, so the retry budget is not charged. The
+        refusal also serves as the most recent load report.
         """
         self.counts.busy += 1
         ticket.attempts -= 1
-        ticket.busy_tries += 1
+        ticket.busy_requeues += 1
         for edge in path.edges if path else ():
             if not failure.blamed or edge.upstream in failure.blamed:
-                loads.note_full(self.network.loads[edge.upstream], now_s)
-        if ticket.busy_tries > BUSY_TRIES and not ticket.begun:
+                loads.note_busy(self.network.loads[edge.upstream], now_s)
+        if ticket.busy_requeues > MAX_BUSY_REQUEUES and not ticket.begun:
             return self._refuse_ticket(
                 ticket.arrival.id,
                 errors.ErrorKind.QUEUE_FULL,
-                "upstreams stay busy",
+                "upstreams stayed busy",
                 now_s,
                 1.0,
             )
@@ -532,8 +547,8 @@
     ) -> list[requests.Effect]:
         ticket = self.tickets.pop(request_id, None)
         if ticket is not None and ticket.maybe_started:
-            # The row of this kind may promise "not run", which no longer is
-            # certain once any attempt was sent.
+            # The answer for the original kind may state that the request was
+            # not run, which is not certain once an attempt was sent.
             kind = errors.ErrorKind.UPSTREAM_FAILED
         return self._refuse(
             request_id, errors.Refusal(kind, reason, retry_after_s)
@@ -545,15 +560,17 @@
         self.counts.refused += 1
         return [questions.Refuse(request_id, refusal)]
 
-    def _has_rivals(self, item: queues.Waiting, hold: shares.Hold) -> bool:
-        """Tells whether others of its graph wait and may start."""
+    def _has_eligible_waiting(
+        self, item: queues.Waiting, limit_check: shares.LimitCheck
+    ) -> bool:
+        """Returns whether other requests of its graph wait and may start."""
         return any(
-            w.graph == item.graph and not self._is_held(w, hold)
+            w.graph == item.graph and not self._is_at_limit(w, limit_check)
             for w in self.queue.waiting.values()
         )
 
-    def _make_hold(self) -> shares.Hold:
-        """Returns what limits hold back, as of now."""
+    def _make_limit_check(self) -> shares.LimitCheck:
+        """Returns a check of workspace limits for one pass over the queue."""
         waiting = collections.Counter(
             self.tickets[w.id].key for w in self.queue.waiting.values()
         )
@@ -565,12 +582,17 @@
             wanted = self.running.get(key, 0) + waiting[key] + 1
             return self._shares.compute(key, binding, wanted, self._now_s)
 
-        return shares.Hold(compute_share, self.running)
+        return shares.LimitCheck(compute_share, self.running)
 
-    def _is_held(self, item: queues.Waiting, hold: shares.Hold) -> bool:
-        """Tells whether a limit holds a request back; never one begun."""
+    def _is_at_limit(
+        self, item: queues.Waiting, limit_check: shares.LimitCheck
+    ) -> bool:
+        """Returns whether its workspace's limit delays a request.
+
+        A request of which tokens were delivered is never delayed.
+        """
         ticket = self.tickets[item.id]
-        return not ticket.begun and hold.is_held(ticket.key)
+        return not ticket.begun and limit_check.is_at_limit(ticket.key)
 
     def _make_waiting(
         self, ticket: requests.Ticket, now_s: float
--- a/egretspur/routing/graph.py
+++ b/egretspur/routing/graph.py
@@ -2,9 +2,9 @@
 
 Vertices are layer boundaries, edges are stages. A path from layer 0 to the
 last layer covers the model once, in order; it may join stages of different
-chains where their boundaries meet. Work per choice grows with the stages and
-hardly with the replicas: at each boundary a few stages are sampled by speed,
-and the cheapest is kept.
+chains where their boundaries meet. At each boundary a few stages are sampled
+in proportion to their speed and the cheapest is kept, so the cost of a choice
+grows with the stages of a path and hardly with the replicas.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from egretspur.intents import records
 from egretspur.routing import loads
 
-# Stages sampled at each boundary, and whole paths compared. Two of each get
+# Stages sampled at each boundary, and complete paths compared. Two of each give
 # most of the gain over random choice; see docs/design/routing.md.
-SAMPLES: Final = 2
-PATHS: Final = 2
+STAGE_SAMPLES: Final = 2
+PATH_SAMPLES: Final = 2
 
-# Draws at a boundary before giving up on a free stage by luck and looking at
-# all; keeps a nearly full data centre from refusing while a slot is free.
-DRAWS: Final = 6
+# Random draws at a boundary before all its stages are searched. The full search
+# keeps a nearly full data centre from refusing while a slot is free.
+MAX_DRAWS: Final = 6
 
 
 @attrs.frozen
@@ -42,17 +42,17 @@
 
 @attrs.frozen
 class Path:
-    """Stages chosen for an attempt."""
+    """The stages chosen for an attempt."""
 
     edges: tuple[Edge, ...]
-    # Deployment the stages belong to, for the caller's trace.
+    # Id of the deployment, shown in the caller's trace.
     label: str
 
 
 @attrs.define
 class _Boundary:
     edges: list[Edge]
-    # Running sums of the speeds, for sampling in proportion.
+    # Cumulative sums of the speeds, for weighted sampling.
     sums: list[float]
 
 
@@ -70,11 +70,11 @@
         """Builds the graph.
 
         Args:
-            label: Name shown to callers.
-            layers: Layers of the model.
-            deployments: Their chains give the stages.
+            label: Id of the deployment, shown to callers.
+            layers: Number of layers of the model.
+            deployments: Deployments whose chains give the stages.
             speeds: Layers per second by upstream.
-            is_usable: Tells whether an upstream may be given work.
+            is_usable: Returns whether an upstream may be given work.
         """
         self.label = label
         self.layers = layers
@@ -92,16 +92,16 @@
         }
         self._boundaries = _build_boundaries(edges.values(), layers)
         self.size = sum(len(b.edges) for b in self._boundaries.values())
-        # Upstreams that requests may be sent to.
-        self.last = frozenset(
+        # Upstreams of last stages, to which hosts send requests.
+        self.last_stages = frozenset(
             e.upstream
             for b in self._boundaries.values()
             for e in b.edges
             if e.last == layers
         )
 
-    def sample(self, boundary: int, rng: random.Random) -> Edge | None:
-        """Returns a stage that begins at a boundary, in proportion to speed."""
+    def sample_stage(self, boundary: int, rng: random.Random) -> Edge | None:
+        """Returns a random stage at a boundary, weighted by speed."""
         found = self._boundaries.get(boundary)
         if found is None:
             return None
@@ -115,74 +115,74 @@
 
 
 @attrs.frozen
-class Known:
-    """What a choice looks at besides the graph."""
+class NetworkState:
+    """Loads, links and availability that a choice depends on."""
 
     upstreams: Mapping[str, loads.UpstreamLoad]
     links: Mapping[tuple[str, str], loads.LinkSpeed]
     now_s: float
-    # Upstreams that take no request now. Requests are sent to a path's last
-    # stage; the others get them from there.
+    # Upstreams at a rate limit or in a backoff. They are excluded only as last
+    # stages, which receive the requests and forward them to the others.
     closed: frozenset[str] = frozenset()
 
 
 def choose_path(
     graph: Graph,
-    known: Known,
+    state: NetworkState,
     rng: random.Random,
     avoid: frozenset[str] = frozenset(),
 ) -> Path | None:
-    """Returns the cheapest of a few sampled paths; None if none is free.
+    """Returns the cheapest of a few sampled paths, or None if none is free.
 
     Args:
         graph: Stages to choose from.
-        known: Loads and links.
-        rng: For the samples.
-        avoid: Upstreams that failed this request before.
+        state: Loads, links and availability of the upstreams.
+        rng: Source of the random samples.
+        avoid: Upstreams to exclude, which failed this request or back off.
     """
     best: tuple[Edge, ...] | None = None
     best_cost = 0.0
-    for _ in range(PATHS):
-        edges = _sample_path(graph, known, rng, avoid)
+    for _ in range(PATH_SAMPLES):
+        edges = _sample_path(graph, state, rng, avoid)
         if edges is None:
             continue
-        cost = compute_cost(edges, known)
+        cost = compute_cost(edges, state)
         if best is None or cost < best_cost:
             best, best_cost = edges, cost
     return Path(best, graph.label) if best else None
 
 
-def compute_cost(edges: tuple[Edge, ...], known: Known) -> float:
-    """Returns the expected seconds per token of a path, relatively.
+def compute_cost(edges: tuple[Edge, ...], state: NetworkState) -> float:
+    """Returns the relative expected seconds per token of a path.
 
-    The slowest part counts: a stage by the requests it would share its speed
-    with, a link by how slow it has looked of late.
+    This is the cost of its slowest stage: the stage's time per token, scaled
+    by the requests that share it and by the recent slowness of its link.
     """
     cost = 0.0
     previous = ""
     for edge in edges:
-        stage = _compute_edge_cost(edge, previous, known)
+        stage = _compute_edge_cost(edge, previous, state)
         if stage > cost:
             cost = stage
         previous = edge.upstream
     return cost
 
 
-def _compute_edge_cost(edge: Edge, previous: str, known: Known) -> float:
+def _compute_edge_cost(edge: Edge, previous: str, state: NetworkState) -> float:
     cost = 1.0 / edge.tokens_per_s
-    load = known.upstreams.get(edge.upstream)
+    load = state.upstreams.get(edge.upstream)
     if load is not None:
-        share = load.get_share(known.now_s)
-        cost *= (load.estimate(known.now_s) + 1.0) / share
-    link = known.links.get((previous, edge.upstream))
+        share = load.get_ramp_share(state.now_s)
+        cost *= (load.estimate(state.now_s) + 1.0) / share
+    link = state.links.get((previous, edge.upstream))
     if link is not None:
-        cost *= link.get_slowness(known.now_s)
+        cost *= link.get_slowness(state.now_s)
     return cost
 
 
 def _sample_path(
     graph: Graph,
-    known: Known,
+    state: NetworkState,
     rng: random.Random,
     avoid: frozenset[str],
 ) -> tuple[Edge, ...] | None:
@@ -190,7 +190,7 @@
     boundary = 0
     previous = ""
     while boundary < graph.layers:
-        edge = _sample_edge(graph, boundary, previous, known, rng, avoid)
+        edge = _sample_edge(graph, boundary, previous, state, rng, avoid)
         if edge is None:
             return None
         path.append(edge)
@@ -203,67 +203,67 @@
     graph: Graph,
     boundary: int,
     previous: str,
-    known: Known,
+    state: NetworkState,
     rng: random.Random,
     avoid: frozenset[str],
 ) -> Edge | None:
     best: Edge | None = None
     best_cost = 0.0
     found = 0
-    for _ in range(DRAWS):
-        edge = graph.sample(boundary, rng)
+    for _ in range(MAX_DRAWS):
+        edge = graph.sample_stage(boundary, rng)
         if edge is None:
             return None
-        if not _is_open(graph, edge, known, avoid):
+        if not _is_available(graph, edge, state, avoid):
             continue
-        cost = _compute_edge_cost(edge, previous, known)
+        cost = _compute_edge_cost(edge, previous, state)
         if best is None or cost < best_cost:
             best, best_cost = edge, cost
         found += 1
-        if found == SAMPLES:
+        if found == STAGE_SAMPLES:
             return best
     if best is not None:
         return best
-    return _find_any(graph, boundary, previous, known, avoid)
+    return _find_cheapest(graph, boundary, previous, state, avoid)
 
 
-def _find_any(
+def _find_cheapest(
     graph: Graph,
     boundary: int,
     previous: str,
-    known: Known,
+    state: NetworkState,
     avoid: frozenset[str],
 ) -> Edge | None:
-    """Returns the cheapest open stage of all; only when luck found none."""
+    """Returns the cheapest available stage, searching all at a boundary."""
     return min(
         (
             e
             for e in graph.get_edges(boundary)
-            if _is_open(graph, e, known, avoid)
+            if _is_available(graph, e, state, avoid)
         ),
-        key=lambda e: _compute_edge_cost(e, previous, known),
+        key=lambda e: _compute_edge_cost(e, previous, state),
         default=None,
     )
 
 
-def _is_open(
-    graph: Graph, edge: Edge, known: Known, avoid: frozenset[str]
+def _is_available(
+    graph: Graph, edge: Edge, state: NetworkState, avoid: frozenset[str]
 ) -> bool:
     if edge.upstream in avoid:
         return False
-    if edge.last == graph.layers and edge.upstream in known.closed:
+    if edge.last == graph.layers and edge.upstream in state.closed:
         return False
-    load = known.upstreams.get(edge.upstream)
-    return load is None or load.is_free(known.now_s)
+    load = state.upstreams.get(edge.upstream)
+    return load is None or load.has_free_slot(state.now_s)
 
 
 def _build_boundaries(
     edges: Iterable[Edge], layers: int
 ) -> dict[int, _Boundary]:
-    """Keeps only stages that lie on some whole path.
+    """Returns boundaries with only the stages from which a path can complete.
 
-    A stage whose only successors are down would otherwise be sampled, and the
-    walk would end at a boundary with no way on.
+    Otherwise a stage whose only successors are down could be sampled, and the
+    search would end at a boundary without stages.
     """
     by_first: dict[int, list[Edge]] = {}
     for edge in sorted(edges, key=lambda e: (e.first, e.upstream)):
