--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -1,7 +1,7 @@
 """All decisions about the requests of one host, as one pure state machine.
 
-It joins the fleet, the choice of paths, request memory, the queue and the
-retry budget. Methods take a message and the time and return effects;
+It combines the state of upstreams, path search, request memory, the queue and
+the retry budget. Methods take a message and the time and return effects;
 `egretspur.routing.desk` runs them in an actor.
 """
 
@@ -30,35 +30,34 @@
 )
 from egretspur.routing import fleet as fleets
 
-# Part of the objective that a request may wait for request memory. What is
-# left must do for reading its prompt, else it is late as well as slow.
+# Fraction of its route's objective that a request may wait for request memory.
+# The rest is needed to process its prompt.
 HOLD_PART: Final = 0.7
 
-# Part of its caller's patience that an answer which has begun waits for a way
-# to go on. The rest must do for reading its text once more.
+# Fraction of its route's `patience_s` that an interrupted answer may wait to be
+# resumed. The rest is needed to process its text once more.
 RESUME_HOLD_PART: Final = 0.7
 
-# An upstream that turned a request away, unrun, is sent it again after so long
-# at the earliest: it is as full as it was.
+# Minimum delay before a request is sent again to an upstream that refused it:
+# sooner, the upstream is still as full.
 TURNED_AWAY_S: Final = 0.1
 
-# Part by which an upstream's rest is longer than it asked for, at most.
+# Maximum fraction by which a backoff exceeds what the upstream asked for.
 BACKOFF_SPREAD: Final = 0.1
 
-# Where requests wait for room, paths are looked for again after so long, or as
-# soon as this host gives room back. Reports and others' news come some hundred
+# Minimum interval between path searches for queued requests, unless this host
+# itself frees request memory. Reports and peer updates arrive some hundred
 # times a second, and each search takes milliseconds.
 WAIT_S: Final = 0.1
 
-# Requests that wait at most.
 QUEUE_LENGTH: Final = 200
 
-# Ranks on the queue: it takes the highest number first.
+# Queue priority of requests of priority 0; the queue serves the highest first.
 TOP_RANK: Final = 9
 
 
 class Broker:
-    """State of one host; see the module's docstring."""
+    """Decision state of one host; see the module's docstring."""
 
     def __init__(
         self,
@@ -82,17 +81,17 @@
         self.repeats = repeats.Repeats(data_centre, budget, rng)
         self._rng = rng
         self._services: Mapping[str, config.Service] = {}
-        # Until when a queue that was served is not served again, unless the
-        # fleet's own revision is another.
+        # The queue is not served again before this time unless the fleet's
+        # own revision differs from `_served_revision`.
         self._served_until_s = -math.inf
         self._served_revision = -1
-        # When the list of upstreams was last read.
+        # Monotonic time at which the list of upstreams was last read.
         self.listed_s = 0.0
-        # Decisions since the last `take_notes`, for the log.
+        # Decisions since the last `take_notes`, to be logged.
         self._notes: list[decisions.Decision] = []
 
     def take_notes(self) -> list[decisions.Decision]:
-        """Returns what was decided since the last call, for the log."""
+        """Returns the decisions made since the last call, for the log."""
         sources = (self._notes, self.fleet.notes, self._crashes.notes)
         notes = [n for source in sources for n in source]
         for source in sources:
@@ -139,8 +138,8 @@
         Args:
             job_id: The request.
             now_s: Monotonic time.
-            is_answered: An upstream answered it to the end, and not with a
-                failure; else it was given up.
+            is_answered: Whether an upstream answered it completely and without
+                a failure; otherwise it was abandoned.
         """
         ticket = self.tickets.pop(job_id, None)
         if ticket is None:
@@ -156,7 +155,7 @@
         return self._start_waiting(now_s)
 
     def note_answer(self, job_id: str, now_s: float) -> None:
-        """Learns from an answer that came."""
+        """Records that the upstreams of a request began to answer."""
         ticket = self.tickets.get(job_id)
         if ticket is None or not ticket.upstream_id:
             return
@@ -170,7 +169,7 @@
     def note_signals(
         self, upstream_id: str, answer: signals.Signals, now_s: float
     ) -> list[jobs.Effect]:
-        """Takes what an upstream asked of the hosts beside an answer."""
+        """Applies the flow-control signals that came with an answer."""
         for value in (answer.per_s, answer.backoff_s):
             if isinstance(value, signals.Unreadable):
                 self._note_unreadable(upstream_id, value)
@@ -179,8 +178,8 @@
         if answer.is_leaving:
             self.fleet.backpressure.note_leaving(upstream_id)
         if isinstance(answer.backoff_s, float):
-            # Spread, so that hosts that were asked together come back one by
-            # one.
+            # Jitter, so that hosts that got the signal together do not resume
+            # together.
             backoff_s = answer.backoff_s * (
                 1.0 + self._rng.uniform(0.0, BACKOFF_SPREAD)
             )
@@ -206,19 +205,19 @@
         now_s: float,
         has_brought: bool = False,
     ) -> jobs.Detour:
-        """Moves a running request off engines that hold it up.
+        """Reroutes a running request around stalled engines.
 
         Args:
             job_id: The request.
-            stalled: Engines that hold it up.
+            stalled: Ids of the engines that delay it.
             now_s: Monotonic time.
-            has_brought: Its attempt has brought a part of the answer.
+            has_brought: Whether its attempt has produced part of the answer.
         """
         ticket = self.tickets.get(job_id)
         spec = self._get_spec(ticket.job.service) if ticket else None
         if ticket is None or spec is None or not ticket.parts:
             return jobs.Detour(None)
-        # The engines it is moved to begin to run it too.
+        # The engines that it is moved to may crash under it as well.
         self._crashes.note_cut(
             ticket.job.fingerprint, tuple(sorted(stalled)), has_brought, now_s
         )
@@ -248,11 +247,11 @@
         )
 
     def secure_repeat(self, job_id: str, now_s: float) -> bool:
-        """Tells whether a running attempt may be ended for another one.
+        """Returns whether a running attempt may be ended and retried.
 
-        The repeat is taken at once. Symptom without it: an attempt that is
-        merely silent is ended, no repeat is left, and the caller's answer is
-        cut, which might have gone on.
+        The retry is taken from the budget at once. Otherwise, a silent attempt
+        could be ended with no retry left, which would cut an answer that might
+        have resumed.
         """
         ticket = self.tickets.get(job_id)
         if ticket is None:
@@ -262,7 +261,7 @@
         return self._can_resume(ticket) and self._take_repeat(ticket, now_s)
 
     def _take_repeat(self, ticket: tickets.Ticket, now_s: float) -> bool:
-        """Takes a repeat of the budget, unless the request has one already."""
+        """Takes a retry from the budget, unless the request holds one."""
         if ticket.repeat_s is not None:
             return True
         if self.repeats.spend(ticket.job.service, now_s):
@@ -271,7 +270,7 @@
         return ticket.repeat_s is not None
 
     def _return_repeat(self, ticket: tickets.Ticket) -> None:
-        """Gives back a repeat that was taken and not sent."""
+        """Returns a retry that was taken and not sent to the budget."""
         if ticket.repeat_s is not None:
             self.repeats.give_back(ticket.job.service, ticket.repeat_s)
             ticket.repeat_s = None
@@ -298,16 +297,16 @@
     def restore(
         self, ends: Mapping[str, quarantines.Ends], now_s: float
     ) -> list[jobs.Effect]:
-        """Takes what the store says of requests in quarantine."""
+        """Applies the quarantine as the store has it."""
         self._crashes.restore(ends, now_s)
         return self._start_waiting(now_s)
 
     def take_unsaved(self) -> list[quarantines.Change]:
-        """Returns what the store is to be told of the quarantine."""
+        """Returns the quarantine changes to be written to the store."""
         return self._crashes.take_unsaved()
 
     def _can_resume(self, ticket: tickets.Ticket) -> bool:
-        """Tells whether a running request may be ended and sent once more."""
+        """Returns whether a running request may be ended and resumed."""
         route = ticket.job.route
         if not self._using.resuming:
             return False
@@ -318,7 +317,7 @@
     def configure(
         self, cfg: config.Configuration, now_s: float = 0.0
     ) -> list[jobs.Effect]:
-        """Takes a new configuration."""
+        """Applies a new configuration."""
         self._services = cfg.services
         with self.fleet.noting_changes(now_s):
             upstreams.configure(self.fleet.roster, cfg.services, now_s)
@@ -329,7 +328,7 @@
         entries: Mapping[str, upstreams.Upstream | feeds.Unreadable],
         now_s: float,
     ) -> list[jobs.Effect]:
-        """Takes the whole list of upstreams, by name."""
+        """Replaces the list of upstreams; entries are keyed by name."""
         self.listed_s = now_s
         with self.fleet.noting_changes(now_s):
             upstreams.replace(self.fleet.roster, entries, now_s)
@@ -342,7 +341,7 @@
         ],
         now_s: float,
     ) -> list[jobs.Effect]:
-        """Takes changes of the list of upstreams; None for a removal."""
+        """Applies changes of the list of upstreams; None removes one."""
         self.listed_s = now_s
         with self.fleet.noting_changes(now_s):
             for name, entry in entries:
@@ -350,7 +349,7 @@
         return self.refresh(now_s)
 
     def hear(self, news: fleets.PeerNews, now_s: float) -> None:
-        """Takes what another host said."""
+        """Applies a peer update."""
         self.fleet.hear(news, now_s)
         self.quarantine.hear(news.ended, now_s)
         self._crashes.settle(now_s)
@@ -359,18 +358,18 @@
         )
 
     def note_hosts(self, hosts: int) -> None:
-        """Takes how many hosts share what all may send, this one included."""
+        """Sets how many hosts, with this one, share budgets and limits."""
         self.repeats.hosts = max(1, hosts)
         self.throttle.demand.hosts = self.repeats.hosts
 
     def refresh(self, now_s: float) -> list[jobs.Effect]:
-        """Starts what can, after the list of upstreams changed."""
+        """Starts queued requests after the upstreams changed."""
         self.fleet.forget_gone()
         self._crashes.settle(now_s)
         return self._start_waiting(now_s)
 
     def tick(self, now_s: float) -> list[jobs.Effect]:
-        """Refuses what came due and starts what can."""
+        """Refuses requests that waited too long and starts what it can."""
         with self.fleet.noting_changes(now_s):
             upstreams.expire(self.fleet.roster, now_s)
         self._crashes.settle(now_s)
@@ -380,7 +379,7 @@
         return effects + self._start_waiting(now_s)
 
     def is_busy(self) -> bool:
-        """Tells whether something may come due at any moment."""
+        """Returns whether `tick` is to be called at short intervals."""
         return (
             bool(self.queue.waiting)
             or self.fleet.is_asking()
@@ -400,12 +399,12 @@
                 )
             ]
         opening = self.fleet.backpressure.find_opening(service.name, now_s)
-        # Plain services take all at once, but for their limits.
+        # Requests to plain services wait only for rate limits.
         is_queued = service.engine is not None or opening is not None
         effects: list[jobs.Effect] = []
         is_behind = is_queued and self._has_waiting(service.name, now_s)
         if is_behind:
-            # What has come free is theirs before it is counted as missing.
+            # Serve requests that wait already before this one.
             effects = self._serve_queue(now_s)
             is_behind = self._has_waiting(service.name, now_s)
         if not is_behind:
@@ -425,7 +424,7 @@
         ]
 
     def _has_waiting(self, service: str, now_s: float) -> bool:
-        """Tells whether requests wait that could take what is free."""
+        """Returns whether requests wait that could use free capacity."""
         return any(
             w.graph == service and not self.tickets[w.id].list_refused(now_s)
             for w in self.queue.waiting.values()
@@ -465,7 +464,9 @@
         self._notes.append(
             decisions.RequestQueued(
                 job.id,
-                "upstreams' limits" if opening else "no path has room",
+                "upstreams are at their rate limits"
+                if opening
+                else "no path has free request memory",
                 len(self.queue.waiting),
                 item.deadline_s - now_s,
             )
@@ -481,12 +482,13 @@
                 loser,
                 now_s,
                 errors.ErrorKind.QUEUE_FULL,
-                "gave way to a more urgent or less served request",
+                "evicted from the full queue by a request that is more urgent"
+                " or of a less served workspace",
             )
         ]
 
     def _count_waiting(self, job: jobs.Job) -> int:
-        """Returns how many others wait for the same service."""
+        """Returns how many other requests wait for the same service."""
         return sum(
             w.graph == job.service and w.id != job.id
             for w in self.queue.waiting.values()
@@ -495,7 +497,7 @@
     def _refuse_limited(
         self, ticket: tickets.Ticket, opening: throttle.Opening, now_s: float
     ) -> questions.Refuse:
-        """Refuses a request whose turn comes too late, until that turn."""
+        """Refuses a request that rate limits would delay for too long."""
         waiting = self._count_waiting(ticket.job)
         refusal = self._refusals.make_limited(ticket, opening, waiting, now_s)
         return self._end(ticket, now_s, refusal)
@@ -503,41 +505,41 @@
     def _refuse_late(
         self, ticket: tickets.Ticket, now_s: float
     ) -> questions.Refuse:
-        """Refuses a request that has waited in vain."""
+        """Refuses a request that has waited in the queue for too long."""
         opening = self.fleet.backpressure.find_opening(
             ticket.job.service, now_s
         )
         if opening is not None:
             return self._refuse_limited(ticket, opening, now_s)
         return self._refuse(
-            ticket, now_s, errors.ErrorKind.DEADLINE, "no room in time"
+            ticket, now_s, errors.ErrorKind.DEADLINE, "no capacity in time"
         )
 
     def _refuse_held(
         self, ticket: tickets.Ticket, now_s: float
     ) -> questions.Refuse:
-        """Refuses a request that may not be sent."""
+        """Refuses a quarantined request."""
         return self._refuse(
             ticket,
             now_s,
             errors.ErrorKind.QUARANTINED,
-            "upstreams ended under it before",
+            "upstreams crashed under it before",
         )
 
     def _note_missing(self, job: jobs.Job, now_s: float) -> None:
-        """Notes for the log why a request waits."""
+        """Records for the log why no path is available to a request."""
         spec = self._get_spec(job.service)
         if spec is not None:
             self._notes.append(self.search.explain(job, spec, now_s))
 
     def _start_waiting(self, now_s: float) -> list[jobs.Effect]:
-        """Serves the queue, unless that was done just now."""
+        """Serves the queue, unless that was done a moment ago."""
         if self._was_served(now_s):
             return self._refuse_all_held(now_s)
         return self._serve_queue(now_s)
 
     def _refuse_all_held(self, now_s: float) -> list[jobs.Effect]:
-        """Refuses the requests that wait and may not be sent any more."""
+        """Refuses the queued requests that are quarantined by now."""
         return [
             self._refuse_held(self.tickets[i], now_s)
             for i in list(self.queue.waiting)
@@ -545,9 +547,10 @@
         ]
 
     def _serve_queue(self, now_s: float) -> list[jobs.Effect]:
-        """Starts the requests that wait and for which there is a path now."""
+        """Starts the queued requests that have a path or a replica now."""
         effects = self._refuse_all_held(now_s)
-        # Services without a path, and requests without one for themselves.
+        # Services without a path, and ids of requests that have none because
+        # upstreams refused them.
         stuck: set[str] = set()
         while self.queue.waiting:
             items = [
@@ -561,7 +564,7 @@
                 ticket = self.tickets[item.id]
                 start = self._try_start(ticket, now_s)
                 if start is None:
-                    # Others may go where this one was turned away.
+                    # Upstreams that refused this one may take others.
                     is_held_back = bool(ticket.list_refused(now_s))
                     stuck.add(item.id if is_held_back else item.graph)
                     continue
@@ -573,7 +576,7 @@
         return effects
 
     def _was_served(self, now_s: float) -> bool:
-        """Tells whether the queue was served just now, and for nothing new."""
+        """Returns whether the queue was served and nothing changed since."""
         return (
             now_s < self._served_until_s
             and self._served_revision == self.fleet.get_own_revision()
@@ -582,7 +585,7 @@
     def _try_start(
         self, ticket: tickets.Ticket, now_s: float
     ) -> jobs.Start | None:
-        """Starts a request for which there is a path, or a replica."""
+        """Starts a request if it has a path or a replica."""
         service = self._services.get(ticket.job.service)
         if service is None:
             return None
@@ -682,18 +685,18 @@
             elif failure.why is jobs.Why.CUT:
                 self.fleet.health.note_fault(upstream_id, now_s)
             elif failure.blamed:
-                # It may also be dead; the probe tells.
+                # It may also be down; the probe finds out.
                 self.fleet.health.note_refused(upstream_id, now_s)
                 self.fleet.health.note_fault(upstream_id, now_s)
 
     def _check_repeat(
         self, ticket: tickets.Ticket, failure: jobs.Failure, now_s: float
     ) -> errors.Refusal | None:
-        """Returns the final answer if the request may not be sent again."""
+        """Returns the final answer if the request may not be retried."""
         is_held = self.quarantine.is_held(ticket.job.fingerprint)
         final = retries.check(ticket, failure, is_held, now_s)
         if final is None and not self._take_repeat(ticket, now_s):
-            final = retries.make_final(ticket, failure, "no repeats left")
+            final = retries.make_final(ticket, failure, "no retries left")
         if final is None:
             return None
         return self._refusals.make(ticket, final.kind, final.reason, now_s)
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -1,7 +1,7 @@
 """Actor that owns a host's `Broker` and runs its effects.
 
-Request threads and feeds talk to it through `Desk`. Events of answers never
-pass through it; a request costs it a few messages in all.
+Request threads and feeds use it through `Desk`. Streamed events of answers
+bypass it, so each request costs the actor only a few messages.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class Arrive:
-    """A request with the future that its thread waits on."""
+    """A new request, with the future that its thread waits on."""
 
     job: jobs.Job
     fut: DecisionFuture
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class Fail:
-    """A failed attempt with the future for what comes next."""
+    """A failed attempt, with the future for the next start or refusal."""
 
     failure: jobs.Failure
     fut: DecisionFuture
@@ -45,7 +45,7 @@
     """A request is over."""
 
     id: str
-    # An upstream answered it to the end, and not with a failure.
+    # Whether an upstream answered it completely and without a failure.
     is_answered: bool
 
 
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class NoteSignals:
-    """An upstream asked something of the hosts beside an answer."""
+    """An answer came with flow-control signals of its upstream."""
 
     upstream_id: str
     answer: signals.Signals
@@ -66,17 +66,17 @@
 
 @attrs.frozen
 class Repath:
-    """Asks for another path of a running request."""
+    """Asks to reroute a running request around stalled engines."""
 
     id: str
     stalled: frozenset[str]
-    # Its attempt has brought a part of the answer.
+    # Whether its attempt has produced part of the answer.
     has_brought: bool
 
 
 @attrs.frozen
 class SecureRepeat:
-    """Asks whether a running attempt may be ended for another one."""
+    """Asks whether a running attempt may be ended and retried."""
 
     id: str
 
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class ChangeUpstreams:
-    """Changes of the list of upstreams; None for a removal."""
+    """Changes of the list of upstreams by name; None removes one."""
 
     entries: tuple[
         tuple[str, upstreams.Upstream | feeds.Unreadable | None], ...
@@ -108,22 +108,22 @@
 class StoreAnswered:
     """The list of upstreams was read."""
 
-    # The read before it had failed.
+    # Whether the read before it had failed.
     is_back: bool
 
 
 @attrs.frozen
 class Heard:
-    """What other hosts said, oldest first."""
+    """Peer updates, oldest first."""
 
     news: tuple[fleet.PeerNews, ...]
-    # Hosts that share the retry budget, as far as this one knows.
+    # Number of hosts known to share the retry budget, this one included.
     hosts: int
 
 
 @attrs.frozen
 class AskTurn:
-    """Asks whether an upstream may be asked something now."""
+    """Asks whether an upstream may be queried now, given limit and backoff."""
 
     upstream_id: str
 
@@ -137,7 +137,7 @@
 
 @attrs.frozen
 class Learn:
-    """An engine's own word on the layers it holds."""
+    """An engine's report of the layers that it holds."""
 
     upstream_id: str
     layers: upstreams.Layers
@@ -145,25 +145,25 @@
 
 @attrs.frozen
 class Restore:
-    """Requests that the store has in quarantine; no ends for one let go."""
+    """The store's quarantine; a released request has no crashes."""
 
     ends: Mapping[str, quarantine.Ends]
 
 
 @attrs.frozen
 class TakeDue:
-    """Time passed; asks for what is to be done outside of the actor."""
+    """Runs the broker's timers; asks for the work due outside the actor."""
 
 
 @attrs.frozen
 class Due:
-    """What is to be done outside of the actor."""
+    """Work that is due outside the actor."""
 
     # Upstreams to probe now.
     probes: tuple[upstreams.Upstream, ...] = ()
-    # Upstreams were found failing that other hosts haven't been told of.
+    # Whether failing upstreams were found that no peer update has named yet.
     has_suspects: bool = False
-    # Changes of the quarantine that the store is to be told of.
+    # Quarantine changes to be written to the store.
     unsaved: tuple[quarantine.Change, ...] = ()
 
 
@@ -172,33 +172,33 @@
     """The result of a probe."""
 
     upstream_id: str
-    # None if it did not answer.
+    # None if the upstream did not answer.
     report: upstreams.EngineReport | None
 
 
 @attrs.frozen
 class Suspect:
-    """An answer over these engines paused."""
+    """An answer paused on a path over these engines."""
 
     upstream_ids: tuple[str, ...]
 
 
 @attrs.frozen
 class Look:
-    """Runs a function on the broker and returns what it returns."""
+    """Calls a function with the broker and returns its result."""
 
     read: Callable[[broker.Broker], Any]
 
 
 class DeskActor(actors.Actor):
-    """Holds the broker; see the messages above."""
+    """Runs the broker; handles the messages above."""
 
     def __init__(self, state: broker.Broker, busy: threading.Event) -> None:
-        """Makes an actor.
+        """Creates the actor.
 
         Args:
-            state: Owned by it from now on.
-            busy: Set while something may come due at any moment.
+            state: Owned by the actor from now on.
+            busy: Set while `TakeDue` is to be sent at short intervals.
         """
         super().__init__()
         self._broker = state
@@ -339,7 +339,7 @@
         return message.read(self._broker)
 
     def on_receive(self, message: Any) -> Any:
-        """Handles one message and logs what was decided by it."""
+        """Handles one message and logs the decisions it led to."""
         try:
             return super().on_receive(message)
         finally:
@@ -351,15 +351,15 @@
                 self._busy.set()
 
     def note_failed(self, message: Any) -> None:
-        """Answers the request that could not be decided on."""
+        """Refuses the request whose message raised an error."""
         questions.answer_failed(message)
 
 
 class Desk:
-    """Typed front of the actor."""
+    """Typed interface to the actor."""
 
     def __init__(self, state: broker.Broker) -> None:
-        """Starts the actor, which owns the broker from now on."""
+        """Starts the actor, which owns the broker from then on."""
         self._busy = threading.Event()
         self._throttle = state.throttle
         self._backpressure = state.fleet.backpressure
@@ -370,27 +370,27 @@
         self._ref.stop()
 
     def arrive(self, job: jobs.Job) -> DecisionFuture:
-        """Hands in a request; the future gives its start or refusal."""
+        """Submits a request; the future returns its start or refusal."""
         fut: DecisionFuture = concurrent.futures.Future()
         self._ref.tell(Arrive(job, fut))
         return fut
 
     def fail(self, failure: jobs.Failure) -> DecisionFuture:
-        """Reports a failed attempt; the future gives what comes next."""
+        """Reports a failed attempt; the future returns what follows."""
         fut: DecisionFuture = concurrent.futures.Future()
         self._ref.tell(Fail(failure, fut))
         return fut
 
     def configure(self, cfg: config.Configuration) -> None:
-        """Puts a configuration in force; returns once it is."""
+        """Applies a configuration; returns once it is in force."""
         actors.ask(self._ref, Configure(cfg))
 
     def tell(self, message: Any) -> None:
-        """Sends a message that needs no answer."""
+        """Sends a message without waiting for a reply."""
         self._ref.tell(message)
 
     def note_signals(self, upstream_id: str, answer: signals.Signals) -> None:
-        """Takes what an answer asks of the hosts; most ask nothing."""
+        """Reports the signals of an answer; skips those that change nothing."""
         if answer == signals.NONE and upstream_id not in self._throttle.limited:
             return
         self._ref.tell(NoteSignals(upstream_id, answer))
@@ -398,33 +398,33 @@
     def repath(
         self, job_id: str, stalled: frozenset[str], has_brought: bool
     ) -> jobs.Detour:
-        """Returns how a running request gets past stages, and moves it."""
+        """Reroutes a running request around stalled engines."""
         found: jobs.Detour = actors.ask(
             self._ref, Repath(job_id, stalled, has_brought)
         )
         return found
 
     def secure_repeat(self, job_id: str) -> bool:
-        """Tells whether a running attempt may be ended for another one."""
+        """Returns whether a running attempt may be ended and retried."""
         is_secured: bool = actors.ask(self._ref, SecureRepeat(job_id))
         return is_secured
 
     def may_ask(self, upstream_id: str) -> bool:
-        """Tells whether an upstream may be asked something; counts it."""
+        """Returns whether an upstream may be queried; counts the query."""
         if self._backpressure.is_free(upstream_id):
             return True
         may_ask: bool = actors.ask(self._ref, AskTurn(upstream_id))
         return may_ask
 
     def take_due(self) -> Due:
-        """Does what came due, and returns what is left to do for others."""
+        """Runs the broker's timers; returns work due outside the actor."""
         due: Due = actors.ask(self._ref, TakeDue())
         return due
 
     def wait_busy(self, wait_s: float) -> None:
-        """Waits until something may come due at any moment, or so long."""
+        """Waits until the broker is busy, for at most `wait_s`."""
         self._busy.wait(wait_s)
 
     def look(self, read: Callable[[broker.Broker], Any]) -> Any:
-        """Returns what a function reads from the broker."""
+        """Returns the result of a function called with the broker."""
         return actors.ask(self._ref, Look(read))
--- a/egretspur/routing/jobs.py
+++ b/egretspur/routing/jobs.py
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Job:
-    """A caller's request as decisions see it."""
+    """The properties of a caller's request that decisions use."""
 
     id: str
     route: config.Route
@@ -20,28 +20,29 @@
     workspace: str
     # 0 is the most urgent.
     priority: int
-    # Request memory wanted on each layer, in tokens; 0 for plain services.
+    # Request memory needed on each layer, in tokens; 0 for plain services.
     tokens: float
     # Monotonic times.
     arrived_s: float
     deadline_s: float
-    # The same for the same request under another id, at any host; see
+    # Identifies the same request under other ids and at other hosts; see
     # `egretspur.admission.fingerprint`.
     fingerprint: str = ""
 
 
 class Why(enum.Enum):
-    """How an attempt ended that brought no answer."""
+    """How an attempt failed."""
 
-    # Nothing was sent: no connection.
+    # No connection could be made; nothing was sent.
     UNREACHABLE = "unreachable"
-    # The upstream's word that it has not run the request.
+    # The upstream reported that it has not run the request.
     REFUSED = "refused"
-    # Another upstream has the address, or an engine lacks its layers.
+    # Another upstream has the address, or an engine lacks the layers asked for.
     MISDIRECTED = "misdirected"
-    # Sent, and the connection broke, fell silent or made no sense.
+    # The request was sent; then the connection broke, went silent or carried
+    # invalid data.
     CUT = "cut"
-    # An answer came that tells of a failure.
+    # The upstream answered with a failure.
     FAILED = "failed"
 
 
@@ -54,9 +55,9 @@
     reason: str
     # Ids of upstreams known to be at fault; empty if any on the path may be.
     blamed: tuple[str, ...] = ()
-    # The caller has a part of the answer.
+    # Whether the caller has received part of the answer.
     is_begun: bool = False
-    # This attempt brought a part of it.
+    # Whether this attempt produced part of the answer.
     has_brought: bool = False
 
 
@@ -66,19 +67,18 @@
 
     id: str
     upstream: upstreams.Upstream
-    # Empty for plain services.
+    # Path through the engines; empty for plain services.
     parts: tuple[paths.Part, ...]
 
 
 @attrs.frozen
 class Detour:
-    """How a running request gets past stages that hold it up."""
+    """How a running request is rerouted around stalled engines."""
 
-    # The path it is to go on over, with the same first stage; None if there
-    # is none.
+    # The new path, with the same first stage; None if there is none.
     parts: tuple[paths.Part, ...] | None
-    # Its attempt is to be ended; what follows is decided as after a failed
-    # one, such as to go on within another data centre.
+    # Whether its attempt is to be ended. It then counts as failed and may, for
+    # example, resume in another data centre.
     is_ended: bool = False
 
 
@@ -87,7 +87,7 @@
 
 @attrs.define
 class Counts:
-    """Totals since the start, for metrics."""
+    """Totals since the process started, for metrics."""
 
     arrived: int = 0
     started: int = 0
@@ -97,12 +97,11 @@
     finished: int = 0
 
 
-# Not frozen, as other messages are: a host makes five thousand a second of what
-# its neighbours tell, and freezing doubles the time that takes. Nobody changes
-# one.
+# Never modified, but not frozen as other messages are: a host decodes five
+# thousand a second from peer updates, and freezing doubles the time per object.
 @attrs.define
 class Usage:
-    """What requests in flight use of one upstream."""
+    """Use of one upstream by requests in flight."""
 
     count: int = 0
     # Request memory, in tokens times layers.
--- a/egretspur/routing/tickets.py
+++ b/egretspur/routing/tickets.py
@@ -1,4 +1,4 @@
-"""A request that a host has accepted, with what became of its attempts.
+"""A request that a host has accepted, with the state of its attempts.
 
 Read next: `egretspur.routing.retries` and `egretspur.routing.broker`.
 """
@@ -15,30 +15,31 @@
     """A request that this host has accepted."""
 
     job: jobs.Job
-    # Sends that may have run.
+    # Failed attempts that an upstream may have run.
     runs: int = 0
+    # Attempts that an upstream refused without running them.
     refusals: int = 0
-    # Times it was given to an upstream.
+    # All attempts.
     attempts: int = 0
     is_begun: bool = False
-    # Where it is now.
+    # First upstream of the current attempt; empty if none is in flight.
     upstream_id: str = ""
     parts: tuple[paths.Part, ...] = ()
     started_s: float = 0.0
-    # Upstreams that failed it.
+    # Upstreams where an attempt failed.
     failed: set[str] = attrs.Factory(set)
-    # Upstreams that turned it away, and until when it is not sent there again.
+    # Upstreams that refused it, and until when it is not sent there again.
     refused: dict[str, float] = attrs.Factory(dict)
-    # When a repeat of the budget was taken for its next attempt; None if none
-    # is held.
+    # When a retry was taken from the budget for its next attempt; None if it
+    # holds none.
     repeat_s: float | None = None
 
     def list_refused(self, now_s: float) -> set[str]:
-        """Returns the upstreams that turned it away just now."""
+        """Returns the upstreams that it may not be sent to again yet."""
         return {i for i, t in self.refused.items() if now_s < t}
 
     def list_stages(self) -> tuple[str, ...]:
-        """Returns the upstreams that work on it, its first one first."""
+        """Returns the upstreams that run it, beginning with the first stage."""
         if not self.upstream_id:
             return ()
         return (
