--- a/egretspur/routing/crashes.py
+++ b/egretspur/routing/crashes.py
@@ -1,6 +1,6 @@
-"""Requests under which upstreams ended, as one host finds out: pure.
+"""Detects requests under which upstreams crashed, as a pure state machine.
 
-Joins the quarantine, which knows requests, with the fleet, which knows
+Connects the quarantine, which tracks requests, with the fleet, which tracks
 upstreams. Read next: `egretspur.admission.quarantine`.
 """
 
@@ -19,17 +19,17 @@
     def __init__(
         self, quarantine: quarantines.Quarantine, fleet: fleets.Fleet
     ) -> None:
-        """Makes a state that has seen nothing.
+        """Creates a detector.
 
         Args:
-            quarantine: What is known of requests.
-            fleet: What is known of upstreams.
+            quarantine: State of requests; updated by the detector.
+            fleet: State of upstreams; only read.
         """
-        # Changes of the quarantine, for the log; whoever writes them clears it.
+        # Quarantine changes to be logged; the caller that logs them clears it.
         self.notes: list[decisions.Decision] = []
         self._quarantine = quarantine
         self._fleet = fleet
-        # Changes that the store is to be told of.
+        # Changes to be written to the store.
         self._unsaved: list[quarantines.Change] = []
 
     def note_cut(
@@ -39,7 +39,7 @@
         has_brought: bool,
         now_s: float,
     ) -> None:
-        """Takes that one of these upstreams may have ended under a request."""
+        """Records that one of these upstreams may have crashed."""
         if not upstream_ids:
             return
         self._quarantine.note_cut(
@@ -49,24 +49,24 @@
         self.settle(now_s)
 
     def settle(self, now_s: float) -> None:
-        """Counts the upstreams that have turned out to have ended."""
+        """Counts the upstreams that are known by now to have crashed."""
         self._quarantine.settle(self._look_at, now_s)
         self._note_changes()
 
     def restore(
         self, ends: Mapping[str, quarantines.Ends], now_s: float
     ) -> None:
-        """Takes what the store says of requests in quarantine."""
+        """Applies the quarantine as the store has it."""
         self._quarantine.hear(ends, now_s)
         self._note_changes()
 
     def take_unsaved(self) -> list[quarantines.Change]:
-        """Returns what the store is to be told of the quarantine."""
+        """Returns the quarantine changes to be written to the store."""
         unsaved, self._unsaved = self._unsaved, []
         return unsaved
 
     def _look_at(self, upstream_id: str) -> quarantines.State:
-        """Returns what is known of an upstream whose answer was cut."""
+        """Returns the state of an upstream whose answer was cut."""
         if upstream_id not in self._fleet.roster.entries:
             return quarantines.State.ENDED
         failed = self._fleet.health.failed.get(upstream_id)
--- a/egretspur/routing/probes.py
+++ b/egretspur/routing/probes.py
@@ -1,7 +1,7 @@
-"""Has the desk do what came due, and probes upstreams that failed.
+"""Runs the broker's timers and probes upstreams that failed.
 
-Symptom without probes: requests themselves find out whether an upstream is
-back, each at the price of a time-out and a repeat. Read next:
+Without probes, requests themselves would find out whether an upstream has
+recovered, each at the cost of a timeout and a retry. Read next:
 `egretspur.routing.health`.
 """
 
@@ -17,17 +17,17 @@
 from egretspur.catalog import upstreams
 from egretspur.routing import desk
 
-# Seconds between two looks at what is due while a request waits or an upstream
-# has just failed, and otherwise: then little comes due, entries that did not
-# come back and probes of upstreams that are long dead.
+# Tick intervals in seconds: `PERIOD_S` while a request waits or an upstream has
+# just failed, else `REST_S`. Little is due then: removal of list entries that
+# did not come back, and probes of upstreams that have been down for long.
 PERIOD_S: Final = 0.05
 REST_S: Final = 0.25
 
-# Probes at once. A dark upstream holds one for the time of a time-out; half
-# of a data centre may be dark.
+# Maximum concurrent probes. An unreachable upstream occupies a thread until the
+# probe times out, and half of a data centre may be unreachable.
 THREADS: Final = 4
 
-# Asks an upstream; returns its report, or None if it did not answer.
+# Probes an upstream; returns its report, or None if it did not answer.
 Probe = Callable[[upstreams.Upstream], upstreams.EngineReport | None]
 
 
@@ -41,14 +41,14 @@
         hurry: Callable[[], None] = lambda: None,
         save: Callable[[Sequence[quarantine.Change]], None] = lambda c: None,
     ) -> None:
-        """Makes a prober.
+        """Creates a prober; `start` runs it.
 
         Args:
-            to: Knows what is due.
-            probe: Asks an upstream.
-            hurry: Called where other hosts should be told of a failing
-                upstream, or of a request to be held, at once.
-            save: Has changes of the quarantine written to the store.
+            to: Returns the work that is due and receives probe results.
+            probe: Probes an upstream.
+            hurry: Called when a peer update about a failing upstream or a
+                quarantined request should be sent at once.
+            save: Called with quarantine changes to be written to the store.
         """
         self._desk = to
         self._probe = probe
@@ -63,11 +63,11 @@
         )
 
     def start(self) -> None:
-        """Starts to look."""
+        """Starts the ticker thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stops; probes under way are left to their bounds."""
+        """Stops the ticker; running probes end by their own timeouts."""
         self._stop.set()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
@@ -87,5 +87,6 @@
         report = None
         with guard.surviving("probe"):
             report = self._probe(entry)
-        # Told in any case, or it would never be asked again.
+        # Sent also after an error; without a result, the upstream would never
+        # be probed again.
         self._desk.tell(desk.Probed(entry.id, report))
--- a/egretspur/routing/questions.py
+++ b/egretspur/routing/questions.py
@@ -1,4 +1,4 @@
-"""Futures that request threads wait on while an actor decides."""
+"""Futures on which request threads wait for an actor's decision."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class Start(Protocol):
-    """An effect that starts an attempt; the answer to its question."""
+    """An effect that starts an attempt of a request."""
 
     @property
     def id(self) -> str:
-        """Request."""
+        """Id of the request."""
 
 
 @attrs.frozen
@@ -32,7 +32,7 @@
 
 
 class Questions(Generic[S]):
-    """Open questions of requests, one each; owned by an actor."""
+    """Unresolved futures, one for each request; owned by an actor."""
 
     def __init__(self) -> None:
         self._futures: dict[
@@ -44,15 +44,15 @@
         request_id: str,
         fut: concurrent.futures.Future[S | errors.Refusal],
     ) -> None:
-        """Takes a request's question, in place of an older one."""
+        """Adds the future of a request; replaces an older one."""
         self._futures[request_id] = fut
 
     def forget(self, request_id: str) -> None:
-        """Drops the question of a request that is over."""
+        """Drops the future of a finished request."""
         self._futures.pop(request_id, None)
 
     def run(self, effects: Iterable[S | Refuse]) -> None:
-        """Answers the questions that were decided."""
+        """Resolves the futures of the requests that were decided."""
         for effect in effects:
             if isinstance(effect, Refuse):
                 self._answer(effect.id, effect.refusal)
@@ -60,32 +60,37 @@
                 self._answer(effect.id, effect)
 
     def _answer(self, request_id: str, decision: S | errors.Refusal) -> None:
-        """Answers a question, unless it was dropped."""
+        """Resolves a request's future, unless it was dropped."""
         fut = self._futures.pop(request_id, None)
         if fut is not None:
             answer(fut, decision)
 
 
 def answer(fut: concurrent.futures.Future[D], decision: D) -> None:
-    """Answers a question, unless its thread gave up."""
+    """Resolves a future, unless its thread cancelled it."""
     if fut.done():
         return
     try:
         fut.set_result(decision)
     except concurrent.futures.InvalidStateError:
-        # The thread gave up in this very moment; it asks no more.
+        # The thread cancelled it after the check above.
         return
 
 
 def answer_failed(message: object) -> None:
-    """Answers a message's question, which could not be decided.
+    """Refuses the request of a message that raised an error in the actor.
 
-    Symptom without it: a caller hears nothing until its deadline, since its
-    thread waits for a decision that has raised an error in the actor.
+    Otherwise, its thread waits for the decision, and its caller for an answer,
+    until the request's deadline.
 
     Args:
-        message: With a future as `fut`, if it asks anything.
+        message: Has a future as `fut` if a thread waits for a decision.
     """
     fut = getattr(message, "fut", None)
     if isinstance(fut, concurrent.futures.Future):
-        answer(fut, errors.Refusal(errors.ErrorKind.INTERNAL, "not decided"))
+        answer(
+            fut,
+            errors.Refusal(
+                errors.ErrorKind.INTERNAL, "the scheduling actor failed"
+            ),
+        )
--- a/egretspur/routing/refusals.py
+++ b/egretspur/routing/refusals.py
@@ -1,4 +1,4 @@
-"""What a host answers a request that it gives up, and when to come back: pure.
+"""Builds the final answer of a refused request, with its Retry-After: pure.
 
 Read next: `egretspur.errors`, `egretspur.routing.returns`.
 """
@@ -12,8 +12,8 @@
 from egretspur.admission import quarantine, throttle
 from egretspur.routing import backpressure, returns, tickets
 
-# Bounds of Retry-After, in seconds: spread, so that callers refused together
-# do not come back together.
+# Bounds of the random Retry-After in seconds. The jitter keeps callers that
+# were refused together from retrying together.
 RETRY_AFTER_S: Final = (0.7, 2.0)
 
 
@@ -26,12 +26,12 @@
         held: quarantine.Quarantine,
         state: backpressure.Backpressure,
     ) -> None:
-        """Makes refusals.
+        """Creates the builder of refusals.
 
         Args:
-            rng: Draws when callers come back.
-            held: Requests that are sent to no upstream.
-            state: What upstreams ask for.
+            rng: Draws Retry-After times.
+            held: Quarantined requests.
+            state: Limits and backoffs of upstreams.
         """
         self._rng = rng
         self._held = held
@@ -45,7 +45,7 @@
         reason: str,
         now_s: float,
     ) -> errors.Refusal:
-        """Returns a request's final answer, "not run" only if that is true."""
+        """Returns a request's final answer; says "not run" only if certain."""
         kind = _check_promise(ticket, kind)
         after_s = 0.0
         if kind is errors.ErrorKind.QUARANTINED:
@@ -64,12 +64,12 @@
         waiting: int,
         now_s: float,
     ) -> errors.Refusal:
-        """Returns the answer to one whose turn at its upstreams is too late.
+        """Returns the answer to a request that limits would delay too long.
 
         Args:
             ticket: The request.
-            opening: When the upstreams take more of this host.
-            waiting: Requests that wait for that here.
+            opening: When the upstreams accept the next request of this host.
+            waiting: Number of requests that wait for that on this host.
             now_s: Monotonic time.
         """
         kind = _check_promise(ticket, errors.ErrorKind.UPSTREAM_LIMITED)
@@ -82,8 +82,8 @@
 def _check_promise(
     ticket: tickets.Ticket, kind: errors.ErrorKind
 ) -> errors.ErrorKind:
-    """Returns a kind that promises no more than is certain."""
+    """Replaces a kind that says "not run" where that is not certain."""
     if ticket.runs and errors.ANSWERS[kind].not_run:
-        # An earlier send may have run, whatever happened since.
+        # An earlier attempt may have run.
         return errors.ErrorKind.UPSTREAM_FAILED
     return kind
--- a/egretspur/routing/retries.py
+++ b/egretspur/routing/retries.py
@@ -1,7 +1,8 @@
-"""Which failed requests may be sent once more, the budget aside: pure.
+"""Decides which failed requests may be retried, without the budget: pure.
 
-What may have run is repeated only where that changes nothing, and never more
-often than its route allows. Read next: `egretspur.admission.repeats`.
+A request that may have run is retried only where that has no side effects, and
+never more often than its route allows. Read next:
+`egretspur.admission.repeats`.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from egretspur.catalog import config
 from egretspur.routing import jobs, tickets
 
-# Times that a request is sent on after upstreams refused it, unrun.
+# Retries after upstreams refused a request without running it.
 MAX_REFUSALS: Final = 2
 
 
 @attrs.frozen
 class GivenUp:
-    """Why a request is not sent again."""
+    """Why a request is not retried."""
 
     kind: errors.ErrorKind
     reason: str
@@ -29,12 +30,12 @@
 def check(
     ticket: tickets.Ticket, failure: jobs.Failure, is_held: bool, now_s: float
 ) -> GivenUp | None:
-    """Returns why a request may not be sent again; None if it may.
+    """Returns why a request may not be retried; None if it may.
 
     Args:
-        ticket: The request, with the attempt that failed.
-        failure: How that ended.
-        is_held: The request is in quarantine.
+        ticket: The request, with the failed attempt counted.
+        failure: How the attempt failed.
+        is_held: Whether the request is quarantined.
         now_s: Monotonic time.
     """
     route = ticket.job.route
@@ -43,7 +44,7 @@
     if is_held:
         return GivenUp(
             errors.ErrorKind.QUARANTINED,
-            f"upstreams ended under it; {_describe(failure)}",
+            f"upstreams crashed under it; {_describe(failure)}",
         )
     if ticket.runs and not _may_run_again(route):
         return make_final(ticket, failure)
@@ -57,7 +58,7 @@
 def make_final(
     ticket: tickets.Ticket, failure: jobs.Failure, why: str = ""
 ) -> GivenUp:
-    """Returns the end of a request whose attempts have failed."""
+    """Returns the final error of a request whose attempts have failed."""
     kind = errors.ErrorKind.UPSTREAM_FAILED
     if not ticket.runs:
         kind = errors.ErrorKind.NO_ROUTE
--- a/egretspur/routing/returns.py
+++ b/egretspur/routing/returns.py
@@ -1,8 +1,8 @@
-"""When callers refused for an upstream's limit are told to come back: pure.
+"""Retry-After for callers refused because of an upstream's limit: pure.
 
-They are told one after the other, in the order in which they were refused, at
-the pace at which this host may send. Were all told the same, they would come
-back together, and all but the first would be refused once more. Read next:
+Callers get successive times, in the order in which they were refused and at
+the rate at which this host may send. With one time for all, they would retry
+together, and all but the first would be refused again. Read next:
 `egretspur.admission.throttle`.
 """
 
@@ -12,17 +12,17 @@
 
 from egretspur.admission import throttle
 
-# Longest time that a caller is told to wait, in seconds; a limit may be lifted
-# long before its turn would come.
+# Maximum Retry-After in seconds. A limit may be lifted long before the
+# scheduled time.
 LONGEST_S: Final = 10.0
 
 
 class Returns:
-    """Callers of one host that were told to come back."""
+    """Schedules the retries of refused callers of one host."""
 
     def __init__(self) -> None:
-        """Makes a state in which nobody was."""
-        # Until when the turns of each service are promised; monotonic time.
+        """Creates an empty schedule."""
+        # Next unassigned retry time by service; monotonic.
         self._promised_s: dict[str, float] = {}
 
     def promise(
@@ -32,12 +32,12 @@
         waiting: int,
         now_s: float,
     ) -> float:
-        """Returns the seconds after which one more caller may come back.
+        """Assigns the next retry time; returns the seconds until then.
 
         Args:
-            service: What it asked for.
-            opening: When the service's upstreams take more.
-            waiting: Requests that wait for that here.
+            service: The service that the caller asked for.
+            opening: When the service's upstreams accept the next request.
+            waiting: Number of requests that wait for that on this host.
             now_s: Monotonic time.
         """
         first_s = now_s + opening.get_turn_s(waiting)
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -325,7 +325,7 @@
 def step_no_repeat(context: Any) -> None:
     refusal = context.world.refused["r"]
     assert refusal.kind is errors.ErrorKind.UPSTREAM_FAILED, refusal
-    assert "ended under it" in refusal.reason
+    assert "crashed under it" in refusal.reason
     assert not context.world.hosts[0].state.counts.repeats
 
 
