--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -32,28 +32,28 @@
 
 # Fraction of its route's objective that a request may wait for request memory.
 # The rest is needed to process its prompt.
-HOLD_PART: Final = 0.7
+QUEUE_WAIT_FRACTION: Final = 0.7
 
 # Fraction of its route's `patience_s` that an interrupted answer may wait to be
 # resumed. The rest is needed to process its text once more.
-RESUME_HOLD_PART: Final = 0.7
+RESUME_WAIT_FRACTION: Final = 0.7
 
 # Minimum delay before a request is sent again to an upstream that refused it:
 # sooner, the upstream is still as full.
-TURNED_AWAY_S: Final = 0.1
+REFUSAL_DELAY_S: Final = 0.1
 
 # Maximum fraction by which a backoff exceeds what the upstream asked for.
-BACKOFF_SPREAD: Final = 0.1
+BACKOFF_JITTER: Final = 0.1
 
 # Minimum interval between path searches for queued requests, unless this host
 # itself frees request memory. Reports and peer updates arrive some hundred
 # times a second, and each search takes milliseconds.
 WAIT_S: Final = 0.1
 
-QUEUE_LENGTH: Final = 200
+MAX_QUEUED: Final = 200
 
 # Queue priority of requests of priority 0; the queue serves the highest first.
-TOP_RANK: Final = 9
+MAX_QUEUE_PRIORITY: Final = 9
 
 
 class Broker:
@@ -68,9 +68,9 @@
     ) -> None:
         self.throttle = throttle.Throttle(data_centre, rng)
         self.fleet = fleets.Fleet(data_centre, using.excess, self.throttle)
-        self._using = using
+        self._mechanisms = using
         self.search = search.Search(self.fleet, using, rng)
-        self.queue = queues.Queue(QUEUE_LENGTH)
+        self.queue = queues.Queue(MAX_QUEUED)
         self.quarantine = quarantines.Quarantine()
         self._crashes = crashes.Crashes(self.quarantine, self.fleet)
         self._refusals = refusals.Refusals(
@@ -114,21 +114,21 @@
         ticket = self.tickets.get(failure.id)
         if ticket is None:
             return []
-        was_at = ticket.upstream_id
-        at = ticket.list_stages()
+        upstream_id = ticket.upstream_id
+        stages = ticket.list_stages()
         self._release(ticket)
         ticket.is_begun |= failure.is_begun
-        self._blame(ticket, was_at, failure, now_s)
+        self._record_failure(ticket, upstream_id, failure, now_s)
         if failure.why is jobs.Why.CUT:
             self._crashes.note_cut(
-                ticket.job.fingerprint, at, failure.has_brought, now_s
+                ticket.job.fingerprint, stages, failure.has_brought, now_s
             )
-        refusal = self._check_repeat(ticket, failure, now_s)
+        refusal = self._check_retry(ticket, failure, now_s)
         if refusal is not None:
             effects: list[jobs.Effect] = [self._end(ticket, now_s, refusal)]
         else:
             effects = self._admit(ticket, now_s)
-        return effects + self._start_waiting(now_s)
+        return effects + self._start_queued(now_s)
 
     def finish(
         self, job_id: str, now_s: float, is_answered: bool = False
@@ -150,9 +150,9 @@
         if ticket.upstream_id:
             queues.note_done(self.queue, ticket.job.service, now_s)
         self._release(ticket)
-        self._return_repeat(ticket)
+        self._return_retry(ticket)
         self.counts.finished += 1
-        return self._start_waiting(now_s)
+        return self._start_queued(now_s)
 
     def note_answer(self, job_id: str, now_s: float) -> None:
         """Records that the upstreams of a request began to answer."""
@@ -181,12 +181,12 @@
             # Jitter, so that hosts that got the signal together do not resume
             # together.
             backoff_s = answer.backoff_s * (
-                1.0 + self._rng.uniform(0.0, BACKOFF_SPREAD)
+                1.0 + self._rng.uniform(0.0, BACKOFF_JITTER)
             )
             self.fleet.backpressure.note_backoff(upstream_id, backoff_s, now_s)
         if not isinstance(answer.per_s, signals.Unreadable):
             self.fleet.backpressure.note_limit(upstream_id, answer.per_s, now_s)
-        return self._start_waiting(now_s)
+        return self._start_queued(now_s)
 
     def _note_unreadable(
         self, upstream_id: str, value: signals.Unreadable
@@ -223,18 +223,18 @@
         )
         if self.quarantine.is_held(ticket.job.fingerprint):
             return jobs.Detour(None, is_ended=True)
-        detour = self._find_detour(
+        detour = self._find_reroute(
             ticket, spec, stalled, self._can_resume(ticket), now_s
         )
-        if detour.is_ended and not self._take_repeat(ticket, now_s):
-            detour = self._find_detour(ticket, spec, stalled, False, now_s)
+        if detour.is_ended and not self._take_retry(ticket, now_s):
+            detour = self._find_reroute(ticket, spec, stalled, False, now_s)
         if detour.parts is not None:
-            self._take_room(ticket, -1)
+            self._add_memory_use(ticket, -1)
             ticket.parts = detour.parts
-            self._take_room(ticket, 1)
+            self._add_memory_use(ticket, 1)
         return detour
 
-    def _find_detour(
+    def _find_reroute(
         self,
         ticket: tickets.Ticket,
         spec: config.EngineSpec,
@@ -258,28 +258,28 @@
             return False
         if self.quarantine.is_held(ticket.job.fingerprint):
             return True
-        return self._can_resume(ticket) and self._take_repeat(ticket, now_s)
+        return self._can_resume(ticket) and self._take_retry(ticket, now_s)
 
-    def _take_repeat(self, ticket: tickets.Ticket, now_s: float) -> bool:
+    def _take_retry(self, ticket: tickets.Ticket, now_s: float) -> bool:
         """Takes a retry from the budget, unless the request holds one."""
         if ticket.repeat_s is not None:
             return True
         if self.repeats.spend(ticket.job.service, now_s):
             ticket.repeat_s = now_s
-        self._notes.append(self._describe_repeat(ticket, now_s))
+        self._notes.append(self._describe_retry(ticket, now_s))
         return ticket.repeat_s is not None
 
-    def _return_repeat(self, ticket: tickets.Ticket) -> None:
+    def _return_retry(self, ticket: tickets.Ticket) -> None:
         """Returns a retry that was taken and not sent to the budget."""
         if ticket.repeat_s is not None:
             self.repeats.give_back(ticket.job.service, ticket.repeat_s)
             ticket.repeat_s = None
 
-    def _describe_repeat(
+    def _describe_retry(
         self, ticket: tickets.Ticket, now_s: float
     ) -> decisions.RepeatTaken | decisions.BudgetEmpty:
         service = ticket.job.service
-        at = self.repeats.get_standing(service, now_s)
+        standing = self.repeats.get_standing(service, now_s)
         make = (
             decisions.BudgetEmpty
             if ticket.repeat_s is None
@@ -288,9 +288,9 @@
         return make(
             ticket.job.id,
             service,
-            at.sent,
-            at.part,
-            at.borrowed,
+            standing.sent,
+            standing.part,
+            standing.borrowed,
             self.repeats.hosts,
         )
 
@@ -299,7 +299,7 @@
     ) -> list[jobs.Effect]:
         """Applies the quarantine as the store has it."""
         self._crashes.restore(ends, now_s)
-        return self._start_waiting(now_s)
+        return self._start_queued(now_s)
 
     def take_unsaved(self) -> list[quarantines.Change]:
         """Returns the quarantine changes to be written to the store."""
@@ -308,7 +308,7 @@
     def _can_resume(self, ticket: tickets.Ticket) -> bool:
         """Returns whether a running request may be ended and resumed."""
         route = ticket.job.route
-        if not self._using.resuming:
+        if not self._mechanisms.resuming:
             return False
         return route.is_resumable and ticket.runs + 1 < route.max_attempts
 
@@ -366,7 +366,7 @@
         """Starts queued requests after the upstreams changed."""
         self.fleet.forget_gone()
         self._crashes.settle(now_s)
-        return self._start_waiting(now_s)
+        return self._start_queued(now_s)
 
     def tick(self, now_s: float) -> list[jobs.Effect]:
         """Refuses requests that waited too long and starts what it can."""
@@ -375,8 +375,8 @@
         self._crashes.settle(now_s)
         effects: list[jobs.Effect] = []
         for item in queues.expire(self.queue, now_s):
-            effects.append(self._refuse_late(self.tickets[item.id], now_s))
-        return effects + self._start_waiting(now_s)
+            effects.append(self._refuse_expired(self.tickets[item.id], now_s))
+        return effects + self._start_queued(now_s)
 
     def is_busy(self) -> bool:
         """Returns whether `tick` is to be called at short intervals."""
@@ -390,7 +390,7 @@
 
     def _admit(self, ticket: tickets.Ticket, now_s: float) -> list[jobs.Effect]:
         if self.quarantine.is_held(ticket.job.fingerprint):
-            return [self._refuse_held(ticket, now_s)]
+            return [self._refuse_quarantined(ticket, now_s)]
         service = self._services.get(ticket.job.service)
         if service is None:
             return [
@@ -404,7 +404,7 @@
         effects: list[jobs.Effect] = []
         is_behind = is_queued and self._has_waiting(service.name, now_s)
         if is_behind:
-            # Serve requests that wait already before this one.
+            # Serve the requests that wait already before this one.
             effects = self._serve_queue(now_s)
             is_behind = self._has_waiting(service.name, now_s)
         if not is_behind:
@@ -437,17 +437,17 @@
         now_s: float,
     ) -> list[jobs.Effect]:
         job = ticket.job
-        hold_s = HOLD_PART * job.route.objective_s
+        hold_s = QUEUE_WAIT_FRACTION * job.route.objective_s
         due_s = job.arrived_s + hold_s
         if ticket.is_begun:
-            due_s = now_s + RESUME_HOLD_PART * job.route.patience_s
+            due_s = now_s + RESUME_WAIT_FRACTION * job.route.patience_s
         elif ticket.runs or ticket.refusals:
             due_s = now_s + hold_s / 2
         item = queues.Waiting(
             job.id,
             job.workspace,
             job.service,
-            TOP_RANK - job.priority,
+            MAX_QUEUE_PRIORITY - job.priority,
             job.arrived_s,
             min(due_s, job.deadline_s),
             ticket.is_begun,
@@ -460,13 +460,13 @@
             if now_s + turn_s > item.deadline_s:
                 return [self._refuse_limited(ticket, opening, now_s)]
         self.counts.queued += 1
-        self._note_missing(job, now_s)
+        self._log_missing_path(job, now_s)
         self._notes.append(
             decisions.RequestQueued(
                 job.id,
                 "upstreams are at their rate limits"
                 if opening
-                else "no path has free request memory",
+                else "no path has free capacity",
                 len(self.queue.waiting),
                 item.deadline_s - now_s,
             )
@@ -502,7 +502,7 @@
         refusal = self._refusals.make_limited(ticket, opening, waiting, now_s)
         return self._end(ticket, now_s, refusal)
 
-    def _refuse_late(
+    def _refuse_expired(
         self, ticket: tickets.Ticket, now_s: float
     ) -> questions.Refuse:
         """Refuses a request that has waited in the queue for too long."""
@@ -515,7 +515,7 @@
             ticket, now_s, errors.ErrorKind.DEADLINE, "no capacity in time"
         )
 
-    def _refuse_held(
+    def _refuse_quarantined(
         self, ticket: tickets.Ticket, now_s: float
     ) -> questions.Refuse:
         """Refuses a quarantined request."""
@@ -526,29 +526,29 @@
             "upstreams crashed under it before",
         )
 
-    def _note_missing(self, job: jobs.Job, now_s: float) -> None:
+    def _log_missing_path(self, job: jobs.Job, now_s: float) -> None:
         """Records for the log why no path is available to a request."""
         spec = self._get_spec(job.service)
         if spec is not None:
             self._notes.append(self.search.explain(job, spec, now_s))
 
-    def _start_waiting(self, now_s: float) -> list[jobs.Effect]:
+    def _start_queued(self, now_s: float) -> list[jobs.Effect]:
         """Serves the queue, unless that was done a moment ago."""
         if self._was_served(now_s):
-            return self._refuse_all_held(now_s)
+            return self._refuse_all_quarantined(now_s)
         return self._serve_queue(now_s)
 
-    def _refuse_all_held(self, now_s: float) -> list[jobs.Effect]:
+    def _refuse_all_quarantined(self, now_s: float) -> list[jobs.Effect]:
         """Refuses the queued requests that are quarantined by now."""
         return [
-            self._refuse_held(self.tickets[i], now_s)
+            self._refuse_quarantined(self.tickets[i], now_s)
             for i in list(self.queue.waiting)
             if self.quarantine.is_held(self.tickets[i].job.fingerprint)
         ]
 
     def _serve_queue(self, now_s: float) -> list[jobs.Effect]:
         """Starts the queued requests that have a path or a replica now."""
-        effects = self._refuse_all_held(now_s)
+        effects = self._refuse_all_quarantined(now_s)
         # Services without a path, and ids of requests that have none because
         # upstreams refused them.
         stuck: set[str] = set()
@@ -617,7 +617,7 @@
             ticket.repeat_s = None
             self.counts.repeats += 1
         self._notes.append(self._describe_start(ticket, entry, now_s))
-        self._take_room(ticket, 1)
+        self._add_memory_use(ticket, 1)
         self.throttle.take(entry.id, now_s)
         self.counts.started += 1
         return jobs.Start(ticket.job.id, entry, ticket.parts)
@@ -648,7 +648,7 @@
             peers,
         )
 
-    def _take_room(self, ticket: tickets.Ticket, sign: int) -> None:
+    def _add_memory_use(self, ticket: tickets.Ticket, sign: int) -> None:
         if not ticket.parts:
             self.fleet.memory.add(ticket.upstream_id, sign, 0.0)
         for part in ticket.parts:
@@ -657,14 +657,14 @@
 
     def _release(self, ticket: tickets.Ticket) -> None:
         if ticket.upstream_id:
-            self._take_room(ticket, -1)
+            self._add_memory_use(ticket, -1)
         ticket.upstream_id = ""
         ticket.parts = ()
 
-    def _blame(
+    def _record_failure(
         self,
         ticket: tickets.Ticket,
-        was_at: str,
+        first_id: str,
         failure: jobs.Failure,
         now_s: float,
     ) -> None:
@@ -673,11 +673,11 @@
         elif failure.why in (jobs.Why.CUT, jobs.Why.FAILED):
             ticket.runs += 1
         blamed = set(failure.blamed)
-        if not blamed and was_at:
-            blamed.add(was_at)
+        if not blamed and first_id:
+            blamed.add(first_id)
         ticket.failed |= blamed
         if failure.why is jobs.Why.REFUSED:
-            until_s = now_s + TURNED_AWAY_S
+            until_s = now_s + REFUSAL_DELAY_S
             ticket.refused.update(dict.fromkeys(blamed, until_s))
         for upstream_id in blamed:
             if failure.why is jobs.Why.UNREACHABLE:
@@ -689,13 +689,13 @@
                 self.fleet.health.note_refused(upstream_id, now_s)
                 self.fleet.health.note_fault(upstream_id, now_s)
 
-    def _check_repeat(
+    def _check_retry(
         self, ticket: tickets.Ticket, failure: jobs.Failure, now_s: float
     ) -> errors.Refusal | None:
         """Returns the final answer if the request may not be retried."""
         is_held = self.quarantine.is_held(ticket.job.fingerprint)
         final = retries.check(ticket, failure, is_held, now_s)
-        if final is None and not self._take_repeat(ticket, now_s):
+        if final is None and not self._take_retry(ticket, now_s):
             final = retries.make_final(ticket, failure, "no retries left")
         if final is None:
             return None
@@ -718,7 +718,7 @@
         self.tickets.pop(ticket.job.id, None)
         queues.remove(self.queue, ticket.job.id)
         self._release(ticket)
-        self._return_repeat(ticket)
+        self._return_retry(ticket)
         self.counts.refused += 1
         self._notes.append(
             decisions.RequestRefused(
--- a/egretspur/routing/crashes.py
+++ b/egretspur/routing/crashes.py
@@ -50,7 +50,7 @@
 
     def settle(self, now_s: float) -> None:
         """Counts the upstreams that are known by now to have crashed."""
-        self._quarantine.settle(self._look_at, now_s)
+        self._quarantine.settle(self._get_state, now_s)
         self._note_changes()
 
     def restore(
@@ -65,7 +65,7 @@
         unsaved, self._unsaved = self._unsaved, []
         return unsaved
 
-    def _look_at(self, upstream_id: str) -> quarantines.State:
+    def _get_state(self, upstream_id: str) -> quarantines.State:
         """Returns the state of an upstream whose answer was cut."""
         if upstream_id not in self._fleet.roster.entries:
             return quarantines.State.ENDED
--- a/egretspur/routing/probes.py
+++ b/egretspur/routing/probes.py
@@ -17,11 +17,12 @@
 from egretspur.catalog import upstreams
 from egretspur.routing import desk
 
-# Tick intervals in seconds: `PERIOD_S` while a request waits or an upstream has
-# just failed, else `REST_S`. Little is due then: removal of list entries that
-# did not come back, and probes of upstreams that have been down for long.
-PERIOD_S: Final = 0.05
-REST_S: Final = 0.25
+# Tick interval while a request waits or an upstream has just failed.
+BUSY_TICK_S: Final = 0.05
+
+# Tick interval otherwise. Little is due then: removal of list entries that did
+# not come back, and probes of upstreams that have been down for long.
+IDLE_TICK_S: Final = 0.25
 
 # Maximum concurrent probes. An unreachable upstream occupies a thread until the
 # probe times out, and half of a data centre may be unreachable.
@@ -38,7 +39,7 @@
         self,
         to: desk.Desk,
         probe: Probe,
-        hurry: Callable[[], None] = lambda: None,
+        send_update: Callable[[], None] = lambda: None,
         save: Callable[[Sequence[quarantine.Change]], None] = lambda c: None,
     ) -> None:
         """Creates a prober; `start` runs it.
@@ -46,13 +47,13 @@
         Args:
             to: Returns the work that is due and receives probe results.
             probe: Probes an upstream.
-            hurry: Called when a peer update about a failing upstream or a
-                quarantined request should be sent at once.
-            save: Called with quarantine changes to be written to the store.
+            send_update: Has a peer update sent at once, because of a failing
+                upstream or a change of the quarantine.
+            save: Has changes of the quarantine written to the store.
         """
         self._desk = to
         self._probe = probe
-        self._hurry = hurry
+        self._send_update = send_update
         self._save = save
         self._pool = concurrent.futures.ThreadPoolExecutor(
             THREADS, thread_name_prefix="probe"
@@ -72,18 +73,18 @@
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def _run(self) -> None:
-        while not self._stop.wait(PERIOD_S):
-            self._desk.wait_busy(REST_S - PERIOD_S)
+        while not self._stop.wait(BUSY_TICK_S):
+            self._desk.wait_busy(IDLE_TICK_S - BUSY_TICK_S)
             with guard.surviving("tick"):
                 due = self._desk.take_due()
                 for entry in due.probes:
-                    self._pool.submit(self._ask, entry)
+                    self._pool.submit(self._probe_upstream, entry)
                 if due.has_suspects or due.unsaved:
-                    self._hurry()
+                    self._send_update()
                 if due.unsaved:
                     self._save(due.unsaved)
 
-    def _ask(self, entry: upstreams.Upstream) -> None:
+    def _probe_upstream(self, entry: upstreams.Upstream) -> None:
         report = None
         with guard.surviving("probe"):
             report = self._probe(entry)
--- a/egretspur/routing/questions.py
+++ b/egretspur/routing/questions.py
@@ -55,11 +55,11 @@
         """Resolves the futures of the requests that were decided."""
         for effect in effects:
             if isinstance(effect, Refuse):
-                self._answer(effect.id, effect.refusal)
+                self._resolve(effect.id, effect.refusal)
             else:
-                self._answer(effect.id, effect)
+                self._resolve(effect.id, effect)
 
-    def _answer(self, request_id: str, decision: S | errors.Refusal) -> None:
+    def _resolve(self, request_id: str, decision: S | errors.Refusal) -> None:
         """Resolves a request's future, unless it was dropped."""
         fut = self._futures.pop(request_id, None)
         if fut is not None:
--- a/egretspur/routing/refusals.py
+++ b/egretspur/routing/refusals.py
@@ -46,7 +46,7 @@
         now_s: float,
     ) -> errors.Refusal:
         """Returns a request's final answer; says "not run" only if certain."""
-        kind = _check_promise(ticket, kind)
+        kind = _withhold_not_run(ticket, kind)
         after_s = 0.0
         if kind is errors.ErrorKind.QUARANTINED:
             after_s = self._held.get_retry_after_s(ticket.job.fingerprint)
@@ -72,14 +72,14 @@
             waiting: Number of requests that wait for that on this host.
             now_s: Monotonic time.
         """
-        kind = _check_promise(ticket, errors.ErrorKind.UPSTREAM_LIMITED)
+        kind = _withhold_not_run(ticket, errors.ErrorKind.UPSTREAM_LIMITED)
         after_s = self._returns.promise(
             ticket.job.service, opening, waiting, now_s
         )
         return errors.Refusal(kind, opening.describe(waiting), after_s)
 
 
-def _check_promise(
+def _withhold_not_run(
     ticket: tickets.Ticket, kind: errors.ErrorKind
 ) -> errors.ErrorKind:
     """Replaces a kind that says "not run" where that is not certain."""
--- a/egretspur/routing/retries.py
+++ b/egretspur/routing/retries.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class GivenUp:
+class FinalError:
     """Why a request is not retried."""
 
     kind: errors.ErrorKind
@@ -29,7 +29,7 @@
 
 def check(
     ticket: tickets.Ticket, failure: jobs.Failure, is_held: bool, now_s: float
-) -> GivenUp | None:
+) -> FinalError | None:
     """Returns why a request may not be retried; None if it may.
 
     Args:
@@ -40,9 +40,9 @@
     """
     route = ticket.job.route
     if now_s >= ticket.job.deadline_s:
-        return GivenUp(errors.ErrorKind.TIMED_OUT, _describe(failure))
+        return FinalError(errors.ErrorKind.TIMED_OUT, _describe(failure))
     if is_held:
-        return GivenUp(
+        return FinalError(
             errors.ErrorKind.QUARANTINED,
             f"upstreams crashed under it; {_describe(failure)}",
         )
@@ -57,13 +57,13 @@
 
 def make_final(
     ticket: tickets.Ticket, failure: jobs.Failure, why: str = ""
-) -> GivenUp:
+) -> FinalError:
     """Returns the final error of a request whose attempts have failed."""
     kind = errors.ErrorKind.UPSTREAM_FAILED
     if not ticket.runs:
         kind = errors.ErrorKind.NO_ROUTE
     reason = _describe(failure)
-    return GivenUp(kind, f"{why}; {reason}" if why else reason)
+    return FinalError(kind, f"{why}; {reason}" if why else reason)
 
 
 def _may_run_again(route: config.Route) -> bool:
--- a/egretspur/routing/returns.py
+++ b/egretspur/routing/returns.py
@@ -14,7 +14,7 @@
 
 # Maximum Retry-After in seconds. A limit may be lifted long before the
 # scheduled time.
-LONGEST_S: Final = 10.0
+MAX_RETRY_AFTER_S: Final = 10.0
 
 
 class Returns:
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         """Creates an empty schedule."""
         # Next unassigned retry time by service; monotonic.
-        self._promised_s: dict[str, float] = {}
+        self._next_retry_s: dict[str, float] = {}
 
     def promise(
         self,
@@ -41,7 +41,7 @@
             now_s: Monotonic time.
         """
         first_s = now_s + opening.get_turn_s(waiting)
-        at_s = max(first_s, self._promised_s.get(service, first_s))
-        longest_s = now_s + LONGEST_S
-        self._promised_s[service] = min(at_s + 1.0 / opening.per_s, longest_s)
+        at_s = max(first_s, self._next_retry_s.get(service, first_s))
+        longest_s = now_s + MAX_RETRY_AFTER_S
+        self._next_retry_s[service] = min(at_s + 1.0 / opening.per_s, longest_s)
         return min(at_s, longest_s) - now_s
