--- a/tests/routing/crashing.feature
+++ b/tests/routing/crashing.feature
@@ -1,112 +1,112 @@
-Feature: A request that ends whatever runs it
-
-  Scenario: A request that ends every engine
-    # Symptom: engines of all data centres end one after the other, and the
-    # answers beside them are cut; a fifth of the callers is served on time.
-    # Sequence: an engine ends as it begins to run a request; the host repeats
-    # it at another one, which ends too; the same request comes again under
-    # another id, at another host, which knows nothing of it. Cause: attempts
-    # are counted for an id at a host, and nobody remembers the request.
-    # Proof: at each end the logs have one request of the same fingerprint at
-    # that engine, which had brought nothing yet.
+Feature: A request that crashes the upstreams that run it
+
+  Scenario: A request that crashes every engine
+    # Guards against engines of all data centres that crash one after the other,
+    # which cuts the other answers they run: a fifth of the callers is served on
+    # time. An engine crashes as it begins to run a request, the host retries it
+    # at another engine, which crashes too, and the caller sends it again under
+    # another id to another host. Attempts are counted by id and host, so each
+    # host starts anew. In the logs, each crashed engine has a request of the
+    # same fingerprint, which had produced no output yet.
     Given 8 hosts in three data centres
-    When a request that ends engines comes every 0.6 s at any host for 30 s
-    Then it reached engines at most 3 times more than 3 s after the third end
+    When a request that crashes engines arrives every 0.6 s at a random host for 30 s
+    Then it reached engines at most 3 times more than 3 s after the third crash
 
-  Scenario: An engine ends after it has brought a part of the answer
+  Scenario: An engine crashes after it has produced part of the answer
     Given 8 hosts in three data centres
-    And engines that bring an event before they end
-    When a request that ends engines comes every 0.6 s at any host for 30 s
-    Then it reached engines at most 3 times more than 3 s after the third end
+    And engines that send an event before they crash
+    When a request that crashes engines arrives every 0.6 s at a random host for 30 s
+    Then it reached engines at most 3 times more than 3 s after the third crash
 
-  Scenario: Requests beside it
-    # Symptom: callers whose answers were cut again and again are refused as
-    # if they had ended the engines.
+  Scenario: Other requests that run on the crashed engines
+    # Guards against requests that are quarantined only because their answers
+    # were cut again and again by crashes that another request caused.
     Given 8 hosts in three data centres
-    When 20 other requests a second come beside a request that ends engines
-    Then only that one is in quarantine, at every host
-    And none of the others was refused as in quarantine
+    When 20 other requests a second arrive beside a request that crashes engines
+    Then only that one is quarantined, at every host
+    And none of the others was refused as quarantined
 
-  Scenario: A host that starts after it
+  Scenario: Hosts that start after the quarantine
     Given 8 hosts in three data centres
-    When a request that ends engines comes every 0.6 s at any host for 6 s
-    And each host is started anew, one a second
-    And it comes every 0.6 s at any host for 6 s
+    When a request that crashes engines arrives every 0.6 s at a random host for 6 s
+    And each host is restarted, one a second
+    And it arrives every 0.6 s at a random host for 6 s
     Then no engine was reached since the first restart
 
   Scenario: All hosts lose power at once
-    # Sequence: each host knows of the request, and none of them is left.
+    # No host that knows of the quarantine is left; only the store has it.
     Given 8 hosts in three data centres
-    When a request that ends engines comes every 0.6 s at any host for 6 s
-    And all hosts are started anew at once
-    And it comes every 0.6 s at any host for 6 s
+    When a request that crashes engines arrives every 0.6 s at a random host for 6 s
+    And all hosts are restarted at once
+    And it arrives every 0.6 s at a random host for 6 s
     Then no engine was reached since the first restart
 
-  Scenario: A data centre that is cut off from the others
-    # Sequence: hosts of two data centres don't hear the third one, which
+  Scenario: A data centre that is partitioned from the others
+    # Hosts of two data centres receive nothing from the third one, which still
     # serves its callers and has the store.
     Given 8 hosts in three data centres
-    And the hosts of "pg-hall" and those of the others don't hear each other
-    When a request that ends engines comes every 0.6 s at any host for 30 s
-    Then it reached engines at most 3 times more than 3 s after the third end
+    And the hosts of "pg-hall" and all others exchange no datagrams
+    When a request that crashes engines arrives every 0.6 s at a random host for 30 s
+    Then it reached engines at most 3 times more than 3 s after the third crash
 
-  Scenario: Many hosts, of whose datagrams a fifth are lost
+  Scenario: Many hosts that lose a fifth of their datagrams
     Given 60 hosts in three data centres
     And a fifth of the datagrams between hosts are lost
-    When a request that ends engines comes every 0.3 s at any host for 12 s
-    Then it reached engines at most 3 times more than 3 s after the third end
-    And only that one is in quarantine, at every host
+    When a request that crashes engines arrives every 0.3 s at a random host for 12 s
+    Then it reached engines at most 3 times more than 3 s after the third crash
+    And only that one is quarantined, at every host
 
-  Scenario: A request that waits when it is put into quarantine
+  Scenario: A request that is queued when it is quarantined
     Given 2 hosts in three data centres
-    And a request that ended two engines waits at each host for room
-    When a third engine ends under it at another host
-    Then those that wait are refused at once, as not run
+    And a request that crashed two engines is queued at each host
+    When a third engine crashes under it at another host
+    Then the queued ones are refused at once, as not run
 
-  Scenario: A running request whose stage ended under it
-    # Sequence: the second engine of its path ends; it is moved to another one,
-    # which begins to run it, and ends as well.
+  Scenario: A running request whose stage crashed under it
+    # The second engine of its path crashes; the request is rerouted to another
+    # one, which begins to run it and crashes as well.
     Given 1 hosts in three data centres
-    When a request runs and 3 of its stages end, one after the other
-    Then it is not moved after the third
+    When a request runs and 3 of its stages crash, one after the other
+    Then it is not rerouted after the third
 
-  Scenario: An engine that lives
-    # Symptom: requests are refused where connections break and engines live.
+  Scenario: Cut connections to engines that are alive
+    # Guards against requests that are quarantined because connections break.
     Given 8 hosts in three data centres
     When a request is cut 9 times by engines that answer probes
-    Then it is in no quarantine
+    Then it is not quarantined
 
-  Scenario: A look-up that many callers send, while all replicas end
-    # Symptom: a look-up that works for everyone is refused by all hosts.
-    # Sequence: each replica ends while it runs that look-up, for reasons of
-    # its own. Cause: callers of a workspace send the same path and no body.
+  Scenario: A look-up that many callers send, while all replicas crash
+    # Guards against a look-up that works but is quarantined at all hosts. All
+    # callers of a workspace send it with the same path and no body, so it has
+    # one fingerprint, and it runs on each replica that crashes for other
+    # reasons.
     Given 1 hosts in three data centres
     And a look-up that was answered 5 s ago
-    When 4 replicas end under it
-    Then it is in no quarantine
+    When 4 replicas crash under it
+    Then it is not quarantined
 
-  Scenario: An operator lets a request go
+  Scenario: An operator releases a request
     Given 8 hosts in three data centres
-    When a request that ends engines comes every 0.6 s at any host for 6 s
+    When a request that crashes engines arrives every 0.6 s at a random host for 6 s
     And an operator removes it from the store
-    Then it is in no quarantine
-    And one that comes is sent to an engine
+    Then it is not quarantined
+    And a new one is sent to an engine
 
-  Scenario: A request in quarantine is answered
-    # Sequence: it was under way when it was put there, and ended nothing.
+  Scenario: A quarantined request is answered
+    # It was in flight when it was quarantined, and crashed nothing.
     Given 8 hosts in three data centres
-    When a request that ran beside three ends is answered
-    Then it is in no quarantine, and the store has let it go
+    When a request that ran beside three crashes is answered
+    Then it is not quarantined, and the store has it as released
 
-  Scenario: A request in quarantine takes nothing of the retry budget
+  Scenario: A quarantined request takes no retry from the budget
     Given 1 hosts in three data centres
-    And a request that ended two engines elsewhere
-    When it ends a third one
-    Then it is refused as having run, and no repeat was taken for it
+    And a request that crashed two engines elsewhere
+    When it crashes a third one
+    Then it is refused as having run, and no retry was taken for it
 
-  Scenario: The router of a data centre repeats a prompt that ends engines
-    # Sequence: six attempts are allowed, and each ends an engine before the
-    # list tells of the one before it.
+  Scenario: The router of a data centre retries a prompt that crashes engines
+    # Six attempts are allowed, and each crashes an engine before the list shows
+    # the crash before it.
     Given a router before 8 engines
     When a prompt comes 4 times that ends each engine it is sent to
     Then it reached 3 engines, and the last was refused as not run
@@ -114,36 +114,36 @@
     Then its router tells others of 3 ends
     And another router that hears of them does not send it
 
-  Scenario: Connections to engines that live break at a router
+  Scenario: Connections to engines that are alive break at a router
     Given a router before 8 engines
     When a prompt comes whose connections break 3 times
     And the list shows the same starts for 6 s
     Then it is sent again
 
-  Scenario: A call to a plain service that ends its replicas
+  Scenario: A call to a plain service that crashes its replicas
     Given a router before 8 engines and a plain service
     When a call ends 3 replicas, one after the other
     Then it may not be sent, and other calls may
 
-  Scenario: Hosts of a data centre tell each other which engines ended
+  Scenario: Hosts of a data centre exchange which engines crashed
     Given two control daemons that exchange entries
     When the router of the first reports 3 ends under a request
     Then the other one tells its router of them
     When the router of the other reports that it was answered
     Then neither tells of any end
 
-  Scenario: A request whose cuts are not explained yet
-    # Symptom: a caller is told to stay away for a minute, though its request
-    # is sent again two seconds later.
+  Scenario: A request whose cuts may not have been crashes
+    # Guards against a Retry-After of a minute although the request may be sent
+    # again two seconds later.
     Given 1 hosts in three data centres
-    And a request that ended two engines elsewhere
+    And a request that crashed two engines elsewhere
     When it is cut once by an engine of which nothing is known
-    Then another one like it is refused, to come back after 2 s
+    Then the same request is refused with a Retry-After of 2 s
     And it is sent 2 s later
 
-  Scenario: The store is away when a request is put into quarantine
-    Given a request that is to be written to a store which is away
-    When it is tried while the store is away, and once more
-    Then it is still to be written
-    When the store is back
-    Then it is written, and nothing is left
+  Scenario: The store is unreachable when a request is quarantined
+    Given a quarantined request and a store that is unreachable
+    When it is written to the store twice while that is unreachable
+    Then both writes fail
+    When the store is reachable again
+    Then the request is written once
--- a/tests/routing/fuzz.feature
+++ b/tests/routing/fuzz.feature
@@ -1,10 +1,10 @@
 @fuzz
 Feature: Requests under any order of events and failures
 
-  Scenario: Routers keep the promises in seeded histories
-    # Symptom: wrong, doubled or missing tokens, two answers, a false "not
-    # run". Sequence: any mix of crossed, late, repeated and lost events,
-    # deaths, restarts, leaving marks and time. Cause: whichever guard is
-    # missing; each was broken once by hand to see it caught.
+  Scenario: Routers keep their guarantees in seeded random histories
+    # Guards against wrong, duplicate or missing tokens, two answers, and a
+    # false "not run", under any mix of crossed, late, repeated and lost events,
+    # deaths, restarts, leaving marks and time. Each check was seen to fail with
+    # its safeguard in the code removed.
     When the routing machine runs 250 histories of 60 steps
     Then the oracle found nothing
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -151,8 +151,8 @@
 
 
 @then(
-    "the waiting ones are refused as not run,"
-    " to come back after {low:g} to {high:g} s"
+    "the waiting ones are refused as not run, with a Retry-After of"
+    " {low:g} to {high:g} s"
 )
 def step_refused(context: Any, low: float, high: float) -> None:
     waiting = set(context.names) - set(context.started)
@@ -191,8 +191,8 @@
 
 
 @when(
-    'a request of kind "{kind}" fails as "{why}" {times:d} times'
-    " and all engines go"
+    'a request of kind "{kind}" fails as "{why}" {times:d} times and all'
+    " engines are removed"
 )
 def step_fail_all(context: Any, kind: str, why: str, times: int) -> None:
     arrive(context, "r", kind)
@@ -241,12 +241,12 @@
         context.at_once.append(count)
 
 
-@then("at least {count:d} of the answers of each host can go on at once")
+@then("at least {count:d} of the answers of each host can be resumed at once")
 def step_at_once(context: Any, count: int) -> None:
     assert min(context.at_once) >= count, context.at_once
 
 
-@then("no {window:d} s hold more than {most:d} repeats")
+@then("no {window:d} s have more than {most:d} retries")
 def step_repeats(context: Any, window: int, most: int) -> None:
     times = context.repeats
     worst = max(
@@ -317,7 +317,7 @@
     step_there(context)
 
 
-@when("an answer pauses and the first engine says that its pace is {pace:d}")
+@when("an answer pauses and the first engine reports a pace of {pace:d}")
 def step_slow(context: Any, pace: int) -> None:
     state = context.broker.fleet
     state.paces.suspect(["a100-0"])
@@ -331,7 +331,7 @@
     assert send_one(context, "n").upstream.id == "a100-twin"
 
 
-@then("it is asked again {seconds:d} s later")
+@then("it is probed again {seconds:d} s later")
 def step_asked(context: Any, seconds: int) -> None:
     state = context.broker.fleet
     assert not state.take_probes(context.now_s + seconds - 0.1)
@@ -339,12 +339,12 @@
     assert [e.id for e in state.take_probes(context.now_s)] == ["a100-0"]
 
 
-@when("it says that its pace is {pace:d}")
+@when("it reports a pace of {pace:d}")
 def step_back_to_pace(context: Any, pace: int) -> None:
     context.broker.fleet.note_probe("a100-0", True, pace, context.now_s)
 
 
-@when("a request runs that has nowhere near by to go on")
+@when("a request runs that can be resumed only in another data centre")
 def step_runs_stuck(context: Any) -> None:
     # A second copy of the model, with another first engine.
     for name, layers in CHAIN.items():
@@ -364,7 +364,7 @@
     assert is_secured == (end == "ended")
 
 
-@then("the log has the repeat as {event}, with {sent:d} sent of {part:d}")
+@then("the log has the retry as {event}, with {sent:d} sent of {part:d}")
 def step_repeat_noted(context: Any, event: str, sent: int, part: int) -> None:
     lines = [decisions.describe(n) for n in context.broker.take_notes()]
     lines = [n for n in lines if n["event"] == event]
@@ -375,7 +375,7 @@
     assert found == (sent, part, 1), found
 
 
-@when("a request runs and its first engine turns it away")
+@when("a request runs and its first engine refuses it")
 def step_turned_away(context: Any) -> None:
     arrive(context, "r")
     context.first = context.started["r"].parts[0].id
@@ -393,9 +393,7 @@
     return int(context.broker.repeats.get_standing("llm", context.now_s).sent)
 
 
-@then(
-    "it runs at the twin of that engine, with {count:d} repeat sent",
-)
+@then("it runs at the twin of that engine, with {count:d} retry sent")
 def step_at_twin(context: Any, count: int) -> None:
     (start,) = context.effects
     assert isinstance(start, jobs.Start), start
@@ -410,7 +408,7 @@
     assert "s" in context.started
 
 
-@then("it runs {later:g} s later, with {count:d} repeat sent")
+@then("it runs {later:g} s later, with {count:d} retry sent")
 def step_runs_later(context: Any, later: float, count: int) -> None:
     context.now_s += later
     (start,) = context.broker.tick(context.now_s)
@@ -419,7 +417,7 @@
     assert count_repeats(context) == count
 
 
-@then("it is refused as not run, with {count:d} repeats sent")
+@then("it is refused as not run, with {count:d} retries sent")
 def step_refused_unrun(context: Any, count: int) -> None:
     context.now_s += 1.0
     (refused,) = context.broker.tick(context.now_s)
@@ -427,7 +425,7 @@
     assert count_repeats(context) == count
 
 
-@then("it goes on with one repeat spent")
+@then("it is resumed with one retry spent")
 def step_one_repeat(context: Any) -> None:
     spent = context.broker.repeats.list_spent(context.now_s)["llm"]
     failure = jobs.Failure("r", jobs.Why.CUT, "interrupted", (), True)
@@ -446,7 +444,7 @@
     ).parts
 
 
-@then("it is moved to the twin, with the same first stage")
+@then("it is rerouted to the twin, with the same first stage")
 def step_moved(context: Any) -> None:
     assert context.moved[0] == context.before[0]
     assert context.moved[1].id == "a100-twin"
@@ -537,7 +535,7 @@
     state.note_peer(place, memory.PeerUsage(context.now_s, {}, place))
 
 
-@when("the hosts of both are heard")
+@when("the hosts of both send updates")
 def step_both_heard(context: Any) -> None:
     hear(context, "pg-hall")
     hear(context, "cj-hall")
@@ -578,14 +576,13 @@
     state.health.note_refused("l40s-0", 0.0)
 
 
-@when("a request comes")
+@when("a request arrives")
 def step_comes(context: Any) -> None:
     context.broker.arrive(fleets.make_job("r"), 0.1)
 
 
 @then(
-    "the log tells for it which engine is which, and the layers that nobody"
-    " holds"
+    "the log names the state of each engine and the layers that no engine holds"
 )
 def step_told_why(context: Any) -> None:
     notes = context.broker.take_notes()
@@ -647,7 +644,7 @@
     assert not is_sent(context.broker, context.now_s + 0.4)
 
 
-@then("the other host, told of it, sends none there either")
+@then("the other host sends none there either after an update")
 def step_other_none(context: Any) -> None:
     assert not is_sent(context.other, context.now_s + 0.4)
 
@@ -657,7 +654,7 @@
     assert is_sent(context.broker, context.now_s)
 
 
-@then("the other host tells nobody of it")
+@then("the other host does not forward it")
 def step_not_told_on(context: Any) -> None:
     assert context.broker.fleet.memory.list_excess(context.now_s)
     assert not context.other.fleet.memory.list_excess(context.now_s)
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -37,16 +37,16 @@
 
 
 @when(
-    "a request that ends engines comes every {every_s:g} s at any host for"
-    " {seconds:g} s"
+    "a request that crashes engines arrives every {every_s:g} s at a"
+    " random host for {seconds:g} s"
 )
 def step_often(context: Any, every_s: float, seconds: float) -> None:
     send_often(context, every_s, seconds)
 
 
 @then(
-    "it reached engines at most {most:d} times more than {after_s:g} s after"
-    " the third end"
+    "it reached engines at most {most:d} times more than {after_s:g} s"
+    " after the third crash"
 )
 def step_bounded(context: Any, most: int, after_s: float) -> None:
     world = context.world
@@ -56,13 +56,14 @@
     assert late <= most, (late, len(world.ended_s))
 
 
-@given("engines that bring an event before they end")
+@given("engines that send an event before they crash")
 def step_late_ends(context: Any) -> None:
     context.world.has_late_ends = True
 
 
 @when(
-    "{rate:d} other requests a second come beside a request that ends engines"
+    "{rate:d} other requests a second arrive beside a request that crashes"
+    " engines"
 )
 def step_beside(context: Any, rate: int) -> None:
     world = context.world
@@ -78,13 +79,13 @@
     assert len(world.ended_s) >= 3
 
 
-@then("only that one is in quarantine, at every host")
+@then("only that one is quarantined, at every host")
 def step_only_one(context: Any) -> None:
     for host in context.world.hosts:
         assert list(host.state.quarantine.list_held()) == [crashes.FATAL]
 
 
-@then("none of the others was refused as in quarantine")
+@then("none of the others was refused as quarantined")
 def step_not_others(context: Any) -> None:
     refused = context.world.refused
     for name in context.others:
@@ -96,7 +97,7 @@
     assert len(answered) > len(context.others) / 2, len(answered)
 
 
-@when("each host is started anew, one a second")
+@when("each host is restarted, one a second")
 def step_restart_each(context: Any) -> None:
     context.reached = len(context.world.reached_s)
     context.world.stored.clear()
@@ -105,14 +106,14 @@
         context.world.play(1.0)
 
 
-@when("all hosts are started anew at once")
+@when("all hosts are restarted at once")
 def step_restart_all(context: Any) -> None:
     context.reached = len(context.world.reached_s)
     for host in list(context.world.hosts):
         context.world.restart(host)
 
 
-@when("it comes every {every_s:g} s at any host for {seconds:g} s")
+@when("it arrives every {every_s:g} s at a random host for {seconds:g} s")
 def step_often_again(context: Any, every_s: float, seconds: float) -> None:
     send_often(context, every_s, seconds)
 
@@ -123,7 +124,7 @@
     assert len(context.world.reached_s) == context.reached
 
 
-@given('the hosts of "{place}" and those of the others don\'t hear each other')
+@given('the hosts of "{place}" and all others exchange no datagrams')
 def step_cut_off(context: Any, place: str) -> None:
     context.world.is_heard = lambda a, b: (
         (a.data_centre == place) == (b.data_centre == place)
@@ -145,7 +146,7 @@
     state.hear(news, now_s)
 
 
-@given("a request that ended two engines waits at each host for room")
+@given("a request that crashed two engines is queued at each host")
 def step_waits(context: Any) -> None:
     world = context.world
     for host in world.hosts:
@@ -156,14 +157,14 @@
         assert len(host.state.queue.waiting) == 1
 
 
-@when("a third engine ends under it at another host")
+@when("a third engine crashes under it at another host")
 def step_third(context: Any) -> None:
     for host in context.world.hosts:
         hear_ends(host.state, 3, context.world.now_s)
         context.world.take(host, host.state.tick(context.world.now_s))
 
 
-@then("those that wait are refused at once, as not run")
+@then("the queued ones are refused at once, as not run")
 def step_refused_waiting(context: Any) -> None:
     refused = list(context.world.refused.values())
     assert len(refused) == len(context.world.hosts), refused
@@ -175,7 +176,7 @@
         assert not host.state.queue.waiting
 
 
-@when("a request runs and {count:d} of its stages end, one after the other")
+@when("a request runs and {count:d} of its stages crash, one after the other")
 def step_stages_end(context: Any, count: int) -> None:
     world = context.world
     (host,) = world.hosts
@@ -196,7 +197,7 @@
         )
 
 
-@then("it is not moved after the third")
+@then("it is not rerouted after the third")
 def step_not_moved(context: Any) -> None:
     first, second, third = context.detours
     assert first.parts and second.parts
@@ -219,7 +220,7 @@
         world.play(0.3)
 
 
-@then("it is in no quarantine")
+@then("it is not quarantined")
 def step_no_quarantine(context: Any) -> None:
     assert not any(context.world.count_held()), context.world.count_held()
 
@@ -257,7 +258,7 @@
     host.state.tick(world.now_s)
 
 
-@when("{count:d} replicas end under it")
+@when("{count:d} replicas crash under it")
 def step_replicas_end(context: Any, count: int) -> None:
     for _ in range(count):
         look_up(context, is_answered=False)
@@ -274,7 +275,7 @@
     world.play(1.0)
 
 
-@then("one that comes is sent to an engine")
+@then("a new one is sent to an engine")
 def step_sent(context: Any) -> None:
     world = context.world
     before = len(world.reached_s)
@@ -282,7 +283,7 @@
     assert len(world.reached_s) == before + 1
 
 
-@when("a request that ran beside three ends is answered")
+@when("a request that ran beside three crashes is answered")
 def step_innocent(context: Any) -> None:
     world = context.world
     for host in world.hosts:
@@ -300,20 +301,20 @@
     world.play(1.0)
 
 
-@then("it is in no quarantine, and the store has let it go")
+@then("it is not quarantined, and the store has it as released")
 def step_let_go_stored(context: Any) -> None:
     assert not any(context.world.count_held()), context.world.count_held()
     assert context.world.stored == {crashes.FATAL: {}}
 
 
-@given("a request that ended two engines elsewhere")
+@given("a request that crashed two engines elsewhere")
 def step_ended_two(context: Any) -> None:
     world = context.world
     (host,) = world.hosts
     hear_ends(host.state, 2, world.now_s)
 
 
-@when("it ends a third one")
+@when("it crashes a third one")
 def step_ends_third(context: Any) -> None:
     world = context.world
     world.send(world.hosts[0], crashes.FATAL, "r")
@@ -321,7 +322,7 @@
     assert len(world.ended_s) == 1
 
 
-@then("it is refused as having run, and no repeat was taken for it")
+@then("it is refused as having run, and no retry was taken for it")
 def step_no_repeat(context: Any) -> None:
     refusal = context.world.refused["r"]
     assert refusal.kind is errors.ErrorKind.UPSTREAM_FAILED, refusal
@@ -339,7 +340,7 @@
     host.state.fail(jobs.Failure(name, jobs.Why.CUT, "reset"), world.now_s)
 
 
-@then("another one like it is refused, to come back after {after_s:g} s")
+@then("the same request is refused with a Retry-After of {after_s:g} s")
 def step_refused_for_now(context: Any, after_s: float) -> None:
     world = context.world
     name = world.send(world.hosts[0], crashes.FATAL)
@@ -358,7 +359,7 @@
     assert name in world.runs, world.refused[name]
 
 
-@given("a request that is to be written to a store which is away")
+@given("a quarantined request and a store that is unreachable")
 def step_saver(context: Any) -> None:
     context.written = []
     context.problem = "no answer"
@@ -373,24 +374,24 @@
     context.saver.take([context.change])
 
 
-@when("it is tried while the store is away, and once more")
+@when("it is written to the store twice while that is unreachable")
 def step_try(context: Any) -> None:
     context.is_done = [context.saver.write_waiting() for _ in range(2)]
 
 
-@then("it is still to be written")
+@then("both writes fail")
 def step_still(context: Any) -> None:
     assert context.is_done == [False, False]
     assert not context.written
 
 
-@when("the store is back")
+@when("the store is reachable again")
 def step_store_back(context: Any) -> None:
     context.problem = ""
     assert context.saver.write_waiting()
 
 
-@then("it is written, and nothing is left")
+@then("the request is written once")
 def step_written(context: Any) -> None:
     assert context.written == [(crashes.FATAL, {"a": 3.0})]
     assert context.saver.write_waiting()
--- a/tests/steps/histories_steps.py
+++ b/tests/steps/histories_steps.py
@@ -116,7 +116,10 @@
 
 @then("nothing is left in flight once all requests are over")
 @then("no request runs more often than its kind allows")
-@then("every request gets exactly one start or refusal for each question")
+@then(
+    "every request gets exactly one start or refusal for each decision it"
+    " asks for"
+)
 def step_histories_played(context: Any) -> None:
     # The oracle checks every step of every history.
     assert context.histories == HISTORIES
--- a/tests/steps/limits_steps.py
+++ b/tests/steps/limits_steps.py
@@ -39,33 +39,31 @@
     world.play(limits.LEAD_S, 10.0, "streaming")
 
 
-@when("{who} name a limit of {per_s:g} a second")
+@when("{who} set a limit of {per_s:g} a second")
 def step_name(context: Any, who: str, per_s: float) -> None:
     for name in REPLICAS if who == "all" else REPLICAS[:1]:
         context.world.name_limit(name, per_s)
 
 
-@when(
-    "the first engines of two data centres name limits of {one:g} and {two:g}"
-)
+@when("the first engines of two data centres set limits of {one:g} and {two:g}")
 def step_name_engines(context: Any, one: float, two: float) -> None:
     context.world.name_limit(FIRST_ENGINES[0], one)
     context.world.name_limit(FIRST_ENGINES[1], two)
 
 
-@when("{rate:g} requests a second come for {seconds:g} s")
+@when("{rate:g} requests a second arrive for {seconds:g} s")
 def step_requests(context: Any, rate: float, seconds: float) -> None:
     context.began_s = context.world.now_s
     context.world.play(seconds, rate)
 
 
-@when("{rate:g} streams a second come for {seconds:g} s")
+@when("{rate:g} streams a second arrive for {seconds:g} s")
 def step_streams(context: Any, rate: float, seconds: float) -> None:
     context.began_s = context.world.now_s
     context.world.play(seconds, rate, "streaming")
 
 
-@then("no upstream gets more than it takes from hosts that it had told")
+@then("no upstream gets more than its limit from hosts that know it")
 def step_within(context: Any) -> None:
     world = context.world
     for name in world.limits:
@@ -73,7 +71,7 @@
         assert part <= 1.0, (name, got, allowed)
 
 
-@then("all that came are answered or run")
+@then("all requests are answered or run")
 def step_answered(context: Any) -> None:
     assert not context.world.refused, len(context.world.refused)
 
@@ -92,7 +90,7 @@
         context.world.name_limit(name, per_s)
 
 
-@when("{rate:g} requests a second come while {what}")
+@when("{rate:g} requests a second arrive while {what}")
 def step_befall(context: Any, rate: float, what: str) -> None:
     BEFALLS[what](context.world, rate)
 
@@ -178,7 +176,7 @@
         assert refusal.kind.value == kind, refusal
 
 
-@then("those refused at a host in one second are told to come back one by one")
+@then("those refused in one second get Retry-After times one after the other")
 def step_spread(context: Any) -> None:
     last_s = context.world.now_s - 1.0
     told = [
@@ -195,12 +193,12 @@
         assert count <= 2 * 15, (second, count)
 
 
-@when("the limit is no longer named")
+@when("the limit is lifted")
 def step_lifted(context: Any) -> None:
     context.world.name_limit(REPLICAS[0], None)
 
 
-@when("{rate:g} requests a second come to {who} for {seconds:g} s")
+@when("{rate:g} requests a second arrive at {who} for {seconds:g} s")
 def step_requests_to(
     context: Any, rate: float, who: str, seconds: float
 ) -> None:
@@ -209,14 +207,14 @@
     world.play(seconds, rate, to=hosts)
 
 
-@when("that replica starts again")
+@when("that replica restarts")
 def step_reborn(context: Any) -> None:
     entry = context.world.entries[REPLICAS[0]]
     context.world.name_limit(entry.id, None)
     context.world.add(attrs.evolve(entry, id=f"{entry.name}@2", born_ms=2))
 
 
-@then("no host takes it for limited")
+@then("no host limits it")
 def step_not_limited(context: Any) -> None:
     for host in context.world.hosts:
         assert not host.state.throttle.limited, host.ip
@@ -229,7 +227,7 @@
     )
 
 
-@when("a stream that has begun is cut")
+@when("a stream is cut after its first events")
 def step_cut_begun(context: Any) -> None:
     world = context.world
     for _ in range(50):
@@ -246,7 +244,7 @@
     context.effects = state.fail(failure, world.now_s)
 
 
-@then("it waits in front of all others")
+@then("it waits first in the queue")
 def step_in_front(context: Any) -> None:
     assert not context.effects, context.effects
     state = context.host.state
@@ -256,27 +254,27 @@
     assert item.deadline_s >= context.world.now_s + 0.5 * patience_s
 
 
-@when("one turns all away and asks for {backoff_s:g} s of rest")
+@when("one refuses all requests with a backoff of {backoff_s:g} s")
 def step_away(context: Any, backoff_s: float) -> None:
     context.world.away = {REPLICAS[0]: backoff_s}
 
 
-@when("all turn all away and ask for {backoff_s:g} s of rest")
+@when("all refuse all requests with a backoff of {backoff_s:g} s")
 def step_all_away(context: Any, backoff_s: float) -> None:
     context.world.away = dict.fromkeys(REPLICAS, backoff_s)
 
 
-@when("the first engine of a data centre asks for {backoff_s:g} s of rest")
+@when("the first engine of a data centre sets a backoff of {backoff_s:g} s")
 def step_engine_away(context: Any, backoff_s: float) -> None:
     context.world.away = {FIRST_ENGINES[0]: backoff_s}
 
 
-@when("it takes requests again")
+@when("it accepts requests again")
 def step_well(context: Any) -> None:
     context.world.away = {}
 
 
-@when("the replica that rests starts again")
+@when("that replica restarts during its backoff")
 def step_rested_reborn(context: Any) -> None:
     entry = context.world.entries[REPLICAS[0]]
     context.reborn = f"{entry.name}@2"
@@ -284,19 +282,19 @@
     context.world.add(attrs.evolve(entry, id=context.reborn, born_ms=2))
 
 
-@when("one tells in its answers that it leaves")
+@when("one announces in its answers that it leaves")
 def step_leaving(context: Any) -> None:
     context.world.leaving = {REPLICAS[0]}
 
 
-@then("no host sends it anything within its rest")
+@then("no host sends it anything during its backoff")
 def step_unrested(context: Any) -> None:
     got, upstream_id, host = context.world.find_unrested()
     assert context.world.backoffs
     assert not got, (got, upstream_id, host)
 
 
-@then("whoever is refused beside a rest is told to come back after it")
+@then("those refused during a backoff get a Retry-After beyond it")
 def step_after_rest(context: Any) -> None:
     world = context.world
     first_s = min(at_s + backoff_s for _, _, at_s, backoff_s in world.backoffs)
@@ -316,7 +314,7 @@
     check_share(context, REPLICAS[0], seconds)
 
 
-@then("the new start gets its share")
+@then("the restarted replica gets its share")
 def step_new_share(context: Any) -> None:
     check_share(context, context.reborn, 2.0)
 
@@ -328,7 +326,9 @@
     assert got >= 45.0 * seconds / 6, got
 
 
-@then("no host sends it anything later than {bound_s:g} s after it was told")
+@then(
+    "no host sends it anything later than {bound_s:g} s after the announcement"
+)
 def step_left(context: Any, bound_s: float) -> None:
     world = context.world
     assert world.farewells
