--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -1,8 +1,8 @@
-"""Hosts before engines that end under a request, without network or threads.
+"""Model of hosts and of engines that crash, without network or threads.
 
-Engines end a moment after they begin to run a request that crashes them, and
-another start of each is back some seconds later. Hosts tell each other by the
-datagrams that they would send. Whoever sends the request may choose any host.
+Engines crash a moment after they begin to run a fatal request, and restart some
+seconds later. Hosts exchange the datagrams that they would send. The fatal
+request may arrive at any host.
 """
 
 from __future__ import annotations
@@ -20,24 +20,29 @@
 from tests import fleets
 from tests.routing import peers
 
-# Seconds between two steps of the model, two datagrams of a host, and from the
-# start of a run to the end of its engine.
+# Time step of the model.
 STEP_S: Final = 0.02
+
+# Interval of the datagrams of a host.
 NEWS_S: Final = 0.25
+
+# From the start of an attempt until its first event, or until its engine
+# crashes.
 RUN_S: Final = 0.1
 
-# An answer that nothing disturbs takes so long, in seconds.
+# Duration of an undisturbed answer.
 ANSWER_S: Final = 0.5
 
-# An engine that ended is off the list after the first, and back after the
-# second time, in seconds.
+# Time from an engine's crash until it is removed from the list.
 LISTED_S: Final = 2.0
+
+# Time from an engine's crash until its restart.
 AWAY_S: Final = 4.0
 
-# Hosts are held to the bound so long after the third end, in seconds.
+# Time from the third crash until the bound on further attempts applies.
 CONTACT_S: Final = 3.0
 
-# Whole chains of a data centre: two engines hold the first half of the layers,
+# Layers of the engines of each data centre: two engines hold the first half,
 # two the rest.
 RANGES: Final = ("0-40", "0-40", "40-80", "40-80")
 
@@ -46,7 +51,7 @@
 
 @attrs.define
 class Run:
-    """An attempt under way."""
+    """An attempt in flight."""
 
     host: peers.Host
     job: jobs.Job
@@ -62,15 +67,16 @@
     rng: random.Random
     now_s: float = 1.0
     hosts: list[peers.Host] = attrs.Factory(list)
-    # Engines that live, by id of their start.
+    # Running engines by id; each start of an engine has its own.
     live: dict[str, upstreams.Upstream] = attrs.Factory(dict)
-    # What is due: time, and what is to be done.
+    # Scheduled calls.
     due: peers.Due = attrs.Factory(list)
     runs: dict[str, Run] = attrs.Factory(dict)
-    # Requests that wait for a decision, by id.
+    # Requests without a decision yet, by id.
     waiting: dict[str, tuple[peers.Host, jobs.Job]] = attrs.Factory(dict)
-    # When requests that crash engines reached one, and when one ended.
+    # When fatal requests reached an engine.
     reached_s: list[float] = attrs.Factory(list)
+    # When engines crashed.
     ended_s: list[float] = attrs.Factory(list)
     answered: set[str] = attrs.Factory(set)
     refused: dict[str, errors.Refusal] = attrs.Factory(dict)
@@ -78,9 +84,9 @@
     starts: int = 0
     # Whether a datagram between two hosts arrives.
     is_heard: Callable[[peers.Host, peers.Host], bool] = lambda a, b: True
-    # Ends of requests as the store has them.
+    # The quarantine as the store has it.
     stored: dict[str, quarantine.Ends] = attrs.Factory(dict)
-    # Runs of which requests bring a part of their answer before engines end.
+    # Whether fatal requests produce part of their answer before the crash.
     has_late_ends: bool = False
 
     def add_hosts(self, count: int) -> None:
@@ -93,7 +99,7 @@
                 self.start_engine(place, layers)
 
     def add_host(self, place: str) -> peers.Host:
-        """Starts a host that knows the list and nothing else."""
+        """Starts a host that knows only the list and the store."""
         state = broker.Broker(place, fleets.BUDGET, random.Random(len(place)))
         state.configure(fleets.make_config())
         for entry in self.live.values():
@@ -104,11 +110,11 @@
         return host
 
     def read_store(self, host: peers.Host) -> None:
-        """Has a host read the requests in quarantine."""
+        """Has a host read the quarantine from the store."""
         self.take(host, host.state.restore(self.stored, self.now_s))
 
     def restart(self, host: peers.Host) -> peers.Host:
-        """Puts a host that knows nothing in the place of another one."""
+        """Restarts a host: it loses its state and its requests."""
         self.hosts.remove(host)
         for name, run in list(self.runs.items()):
             if run.host is host:
@@ -134,7 +140,7 @@
             host.state.change_list([(entry.name, entry)], self.now_s)
 
     def end_engine(self, upstream_id: str) -> None:
-        """Ends an engine with all that it runs."""
+        """Crashes an engine; all attempts on it are cut."""
         entry = self.live.pop(upstream_id, None)
         if entry is None:
             return
@@ -152,7 +158,7 @@
             host.state.change_list([(entry.name, None)], self.now_s)
 
     def after(self, seconds: float, work: Callable[[], None]) -> None:
-        """Has something done later."""
+        """Schedules a call."""
         self.due.append((self.now_s + seconds, work))
 
     def send(self, host: peers.Host, fingerprint: str, id_: str = "") -> str:
@@ -167,7 +173,7 @@
         return name
 
     def take(self, host: peers.Host, effects: list[jobs.Effect]) -> None:
-        """Runs what a host decided."""
+        """Applies the decisions of a host."""
         for effect in effects:
             owner, job = self.waiting.pop(effect.id)
             assert owner is host
@@ -191,7 +197,7 @@
             run.is_begun = self.has_late_ends
 
     def _lose(self, name: str, run: Run) -> None:
-        """Takes that an attempt's engine ended."""
+        """Cuts an attempt whose engine crashed."""
         reason = f"{run.start.upstream.id}: connection broken"
         failure = jobs.Failure(
             name,
@@ -208,7 +214,7 @@
         self.take(run.host, run.host.state.fail(failure, self.now_s))
 
     def play(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Runs the model for some seconds."""
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.now_s += STEP_S
@@ -242,7 +248,7 @@
                 self.finish(run.host, name)
 
     def finish(self, host: peers.Host, name: str) -> None:
-        """Ends a request whose answer its caller has."""
+        """Ends a request that was answered completely."""
         self.take(host, host.state.finish(name, self.now_s, True))
 
     def _probe(self, host: peers.Host) -> None:
@@ -251,7 +257,7 @@
             host.state.fleet.note_report(entry.id, report, self.now_s)
 
     def count_late(self) -> int:
-        """Returns how often engines were reached after the bound began."""
+        """Returns how often fatal requests reached engines past the bound."""
         if len(self.ended_s) < 3:
             return 0
         bound_s = self.ended_s[2] + CONTACT_S
--- a/tests/routing/limits.py
+++ b/tests/routing/limits.py
@@ -1,10 +1,10 @@
-"""Hosts before upstreams that ask for less, without network or threads.
+"""Model of hosts and upstreams with flow control, without network or threads.
 
-Each host has the product's own `Broker`; hosts tell each other by the datagrams
-that they would send. Upstreams name in their answers how many requests a second
-they take from all hosts, turn requests away and ask for rest, or tell that they
-leave. The oracle sees only what reaches an upstream, from whom, and when a host
-had an answer that asked for something.
+Each host has the product's own `Broker`; hosts exchange the datagrams that they
+would send. In their answers, upstreams set a limit in requests a second for all
+hosts together, refuse requests with a backoff, or announce that they leave. The
+oracle sees only which requests reach an upstream, from which host, and when a
+host received an answer with such a signal.
 """
 
 from __future__ import annotations
@@ -23,32 +23,37 @@
 from tests import fleets
 from tests.routing import peers
 
-# Seconds between two steps of the model and two datagrams of a host.
+# Time step of the model.
 STEP_S: Final = 0.02
+
+# Interval of the datagrams of a host.
 NEWS_S: Final = exchange.PERIOD_S
 
-# From the sending of a request to the end of its answer, in seconds.
+# Duration of an answer by service, in seconds.
 ANSWER_S: Final = {"llm": 1.5, "desk": 0.04}
 
-# A host is bound by an answer this long after it.
+# Time from an answer with a signal until the host must follow it.
 TOLD_S: Final = 0.5
 
-# From when an upstream first names a limit until it holds, the window it is
-# counted in, and what may come beyond it.
+# Time from an upstream's first limit until the limit is checked.
 CONTACT_S: Final = 3.0
+
+# Window in which requests are counted.
 WINDOW_S: Final = 4.0
+
+# Factor and number of requests by which a window may exceed the limit.
 SLACK: Final = 1.5
 SPARE: Final = 5
 
-# Seconds that a host has been up, with callers, before a history begins.
+# Time that hosts run, with callers, before a history begins.
 LEAD_S: Final = 2.0
 
 
 @attrs.define(eq=False)
 class Host(peers.Host):
-    """A host's decisions, and what it was told."""
+    """A host with the signals that it received."""
 
-    # When it first had an answer that named a limit, by upstream.
+    # When it first received an answer with a limit, by upstream.
     told_s: dict[str, float] = attrs.Factory(dict)
 
 
@@ -58,7 +63,7 @@
 
     at_s: float
     host: Host
-    # Its host had had an answer that named the limit for `TOLD_S`.
+    # Whether its host received an answer with a limit at least `TOLD_S` ago.
     is_told: bool
 
 
@@ -70,28 +75,31 @@
     now_s: float = 100.0
     hosts: list[Host] = attrs.Factory(list)
     entries: dict[str, upstreams.Upstream] = attrs.Factory(dict)
-    # What upstreams name now, and what they have named since when.
+    # Current limits of upstreams.
     limits: dict[str, float] = attrs.Factory(dict)
+    # Times and values of their limits, oldest first.
     named: dict[str, list[tuple[float, float]]] = attrs.Factory(dict)
     arrivals: dict[str, list[Arrival]] = attrs.Factory(dict)
     due: peers.Due = attrs.Factory(list)
-    # Requests that wait for a decision: when each arrived.
+    # Requests without a decision yet: when each arrived.
     waiting: dict[str, float] = attrs.Factory(dict)
     answered: list[float] = attrs.Factory(list)
-    # When each refused request arrived, how long it waited, what it was told.
+    # Arrival time, waiting time and answer of each refused request.
     refused: list[tuple[float, float, errors.Refusal]] = attrs.Factory(list)
-    # Part of the datagrams that are lost, and data centres that hear no other.
+    # Fraction of datagrams that are lost.
     lost: float = 0.0
+    # Data centres that exchange no datagrams with others.
     apart: frozenset[str] = frozenset()
     count: int = 0
-    # Upstreams that turn requests away, with the seconds of rest that they ask
-    # for, and those that tell that they leave.
+    # Upstreams that refuse all requests, with their backoff in seconds.
     away: dict[str, float] = attrs.Factory(dict)
+    # Upstreams that announce that they leave.
     leaving: set[str] = attrs.Factory(set)
-    # When hosts were asked for rest and how long, and told that one leaves.
+    # Backoffs that hosts received: upstream, host, time and seconds.
     backoffs: list[tuple[str, Host, float, float]] = attrs.Factory(list)
+    # When a host first received that an upstream leaves, by id and host's IP.
     farewells: dict[tuple[str, str], float] = attrs.Factory(dict)
-    # Why requests waited for a path.
+    # Logged reasons why requests had no path.
     notes: list[decisions.PathMissing] = attrs.Factory(list)
 
     def add_hosts(self, count: int) -> None:
@@ -133,7 +141,7 @@
             host.state.change_list([(entry.name, entry)], self.now_s)
 
     def name_limit(self, upstream_id: str, per_s: float | None) -> None:
-        """Has an upstream name a limit, or none any more."""
+        """Sets the limit of an upstream; None lifts it."""
         if per_s is None:
             del self.limits[upstream_id]
             del self.named[upstream_id]
@@ -142,7 +150,7 @@
         self.named.setdefault(upstream_id, []).append((self.now_s, per_s))
 
     def restart(self, hosts: Collection[Host]) -> None:
-        """Starts hosts again: they know nothing of before."""
+        """Restarts hosts; they lose their state."""
         for host in hosts:
             host.state = self._make(host.data_centre)
             host.told_s.clear()
@@ -226,13 +234,20 @@
         kind: str = "non_idempotent",
         to: Collection[Host] | None = None,
     ) -> None:
-        """Lets time pass, with so many requests a second over all hosts."""
+        """Runs the model for some seconds.
+
+        Args:
+            seconds: How long.
+            rate: Requests a second that arrive at all hosts together.
+            kind: Kind of these requests.
+            to: Hosts where they arrive; all if None.
+        """
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.now_s += STEP_S
             peers.do_due(self.due, self.now_s)
             for host in self.hosts:
-                # As its ticker does.
+                # Like the ticker of `egretspur.routing.probes`.
                 if host.state.is_busy():
                     self._take(host, host.state.tick(self.now_s))
                 if self.now_s >= host.next_news_s:
@@ -244,7 +259,7 @@
                 self.send(self.rng.choice(list(to or self.hosts)), kind)
 
     def _draw(self, mean: float) -> int:
-        """Returns a number of requests whose mean is given."""
+        """Draws a number of requests from a Poisson distribution."""
         count = 0
         left = self.rng.expovariate(1.0)
         while left < mean:
@@ -258,14 +273,14 @@
             other.state.note_hosts(len(self.hosts))
 
     def _is_heard(self, host: peers.Host, other: peers.Host) -> bool:
-        """Tells whether a datagram between two hosts arrives."""
+        """Returns whether a datagram between two hosts arrives."""
         places = {host.data_centre, other.data_centre}
         if len(places) > 1 and places & self.apart:
             return False
         return self.rng.random() >= self.lost
 
     def find_worst(self, upstream_id: str) -> tuple[float, int, float]:
-        """Returns the worst window: how far beyond, requests, allowed."""
+        """Returns the worst window: requests per allowed one, and both."""
         since_s = self.named[upstream_id][0][0] + CONTACT_S
         times = [
             a.at_s
@@ -283,9 +298,9 @@
         return worst
 
     def _get_allowed(self, upstream_id: str, start_s: float) -> float:
-        """Returns what may come in the window that begins then.
+        """Returns how many requests may arrive in the window from `start_s`.
 
-        By the highest limit that was in force in it.
+        The highest limit that was in force in the window counts.
         """
         named = self.named[upstream_id]
         ends = [at_s for at_s, _ in named[1:]] + [math.inf]
@@ -297,7 +312,10 @@
         return SLACK * highest * WINDOW_S + SPARE
 
     def find_unrested(self) -> tuple[int, str, str]:
-        """Returns the most that reached an upstream within a rest it had."""
+        """Returns the most requests that a host sent during one backoff.
+
+        The upstream's id and the host's IP address follow.
+        """
         worst = (0, "", "")
         for upstream_id, host, at_s, backoff_s in self.backoffs:
             got = sum(
@@ -308,5 +326,5 @@
         return worst
 
     def count_reached(self, upstream_id: str, since_s: float) -> int:
-        """Returns the requests that reached an upstream since then."""
+        """Returns how many requests reached an upstream since `since_s`."""
         return sum(a.at_s >= since_s for a in self.arrivals[upstream_id])
--- a/tests/routing/machine.py
+++ b/tests/routing/machine.py
@@ -1,9 +1,9 @@
 """Fuzzing of admission, routing, attempts and merging against an oracle.
 
-The oracle, in a few lines: what a caller has got is a beginning of its own
-answer; it gets one end or one refusal, never both; "not run" is said only if
-no attempt was ever started; no attempt goes to an upstream whose incarnation
-the router knows as leaving; retries stay within their budget.
+The oracle checks: the output that a caller has received is a prefix of its own
+answer; each caller gets one end or one refusal, never both; "not run" is said
+only if no attempt was ever started; no attempt goes to an upstream whose
+incarnation the router knows as leaving; retries stay within their budget.
 """
 
 from __future__ import annotations
@@ -58,14 +58,14 @@
 
     @stateful.rule(data=st.data())
     def lose_event(self, data: Any) -> None:
-        """An event is lost on its way."""
+        """An event is lost."""
         request = self._draw_running(data)
         if request is not None and request.current is not None:
             self.world.make_event(request.current, request)
 
     @stateful.rule(data=st.data(), back=st.integers(1, 3))
     def repeat_event(self, data: Any, back: int) -> None:
-        """An event comes again."""
+        """An event is delivered again."""
         request = self._draw_running(data)
         if request is None or request.current is None:
             return
@@ -75,32 +75,32 @@
 
     @stateful.rule(data=st.data())
     def send_late_event(self, data: Any) -> None:
-        """An event of an older attempt comes on the present connection."""
+        """An event of an older attempt arrives on the current connection."""
         request = self._draw_running(data)
         if request is None or len(request.attempts) < 2:
             return
         assert request.current is not None
         old = data.draw(st.sampled_from(request.attempts[:-1]))
         if data.draw(st.booleans()):
-            # The same path was chosen again: only the number tells.
+            # On the same path again, only the attempt's number differs.
             old = attrs.evolve(request.current, number=old.number)
         self.world.deliver(request, self.world.make_event(old, request))
 
     @stateful.rule(data=st.data())
     def cross_event(self, data: Any) -> None:
-        """Another request's event comes on this one's connection."""
+        """Another request's event arrives on this one's connection."""
         first = self._draw_running(data)
         second = self._draw_running(data)
         if first is None or second is None or first is second:
             return
         assert first.current is not None
-        # Alike in all but the request: only its id tells it apart.
+        # The event differs only in the id of its request.
         copy = attrs.evolve(first.current)
         self.world.deliver(first, self.world.make_event(copy, second))
 
     @stateful.rule(data=st.data())
     def end_early(self, data: Any) -> None:
-        """The end comes although tokens before it were lost."""
+        """The last event arrives although tokens before it were lost."""
         request = self._draw_running(data)
         if request is None or request.current is None:
             return
@@ -109,7 +109,7 @@
 
     @stateful.rule(data=st.data())
     def skip_layers(self, data: Any) -> None:
-        """A token comes that did not go through all layers."""
+        """A token arrives that did not pass through all layers."""
         request = self._draw_running(data)
         if request is None or request.current is None:
             return
@@ -118,7 +118,7 @@
 
     @stateful.rule(data=st.data(), blamed=st.booleans())
     def break_connection(self, data: Any, blamed: bool) -> None:
-        """A connection breaks or falls silent."""
+        """A connection breaks or goes silent."""
         request = self._draw_running(data)
         if request is None or request.current is None:
             return
@@ -127,7 +127,7 @@
 
     @stateful.rule(data=st.data(), busy=st.booleans())
     def refuse_connection(self, data: Any, busy: bool) -> None:
-        """An engine can't be reached, or refuses a request unstarted."""
+        """An engine is unreachable, or refuses a request without running it."""
         request = self._draw_running(data)
         if request is None or request.current is None:
             return
@@ -150,7 +150,7 @@
 
     @stateful.rule(name=MARK, data=st.data())
     def mark_leaving(self, name: str, data: Any) -> None:
-        """A router hears that an upstream is leaving."""
+        """A router receives an upstream's leaving mark."""
         number = data.draw(st.integers(0, self._last_router()))
         mark = (name, str(self.world.incarnations[name]))
         self.world.told_leaving[number].add(mark)
@@ -158,7 +158,7 @@
 
     @stateful.rule(name=MARK)
     def restart_upstream(self, name: str) -> None:
-        """An upstream comes back as another incarnation."""
+        """An upstream restarts with another incarnation."""
         self.world.incarnations[name] += 1
         self.world.offset += 1
         for number in range(len(self.world.routers)):
@@ -188,8 +188,8 @@
                     assert len(request.texts) == world.TOKENS, request
                 continue
             if request.texts:
-                # A begun answer is given up only when its attempts or its
-                # time are over, not because nothing is free at the moment.
+                # A begun answer is cut only when its attempts or its time are
+                # used up, not because no engine is free at the moment.
                 reason = request.refusal.refusal.reason
                 assert "no attempts left" in reason or (
                     "waited too long" in reason
@@ -214,14 +214,14 @@
             counts = router.counts
             allowed = 3.0 + 0.1 * counts.arrived
             assert counts.retries <= allowed, counts
-            # A begun answer waits even where the queue is full.
+            # A begun answer may wait even if the queue is full.
             waiting = router.queue.waiting.values()
             new = [w for w in waiting if not w.is_begun]
             assert len(new) <= world.QUEUE, new
 
     @stateful.invariant()
     def limits_hold(self) -> None:
-        """Checks the workspace's limit while news of peers is fresh."""
+        """Checks the workspace's limit, if there is only one router."""
         if self.world.limit and len(self.world.routers) == 1:
             running = self.world.routers[0].running.get("binding/w/m", 0)
             begun = sum(
@@ -232,7 +232,7 @@
             assert running <= self.world.limit + begun
 
     def teardown(self) -> None:
-        """Lets all that runs finish: nobody may be left without an end."""
+        """Finishes all requests; each must get an end or a refusal."""
         for request in list(self.world.requests.values()):
             for _ in range(200):
                 if request.current is None:
