--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -24,7 +24,7 @@
 STEP_S: Final = 0.02
 
 # Interval of the datagrams of a host.
-NEWS_S: Final = 0.25
+UPDATE_PERIOD_S: Final = 0.25
 
 # From the start of an attempt until its first event, or until its engine
 # crashes.
@@ -34,13 +34,13 @@
 ANSWER_S: Final = 0.5
 
 # Time from an engine's crash until it is removed from the list.
-LISTED_S: Final = 2.0
+UNLIST_DELAY_S: Final = 2.0
 
 # Time from an engine's crash until its restart.
-AWAY_S: Final = 4.0
+RESTART_DELAY_S: Final = 4.0
 
 # Time from the third crash until the bound on further attempts applies.
-CONTACT_S: Final = 3.0
+SETTLE_S: Final = 3.0
 
 # Layers of the engines of each data centre: two engines hold the first half,
 # two the rest.
@@ -77,17 +77,17 @@
     # When fatal requests reached an engine.
     reached_s: list[float] = attrs.Factory(list)
     # When engines crashed.
-    ended_s: list[float] = attrs.Factory(list)
+    crashed_s: list[float] = attrs.Factory(list)
     answered: set[str] = attrs.Factory(set)
     refused: dict[str, errors.Refusal] = attrs.Factory(dict)
     arrived: int = 0
     starts: int = 0
     # Whether a datagram between two hosts arrives.
-    is_heard: Callable[[peers.Host, peers.Host], bool] = lambda a, b: True
+    is_delivered: Callable[[peers.Host, peers.Host], bool] = lambda a, b: True
     # The quarantine as the store has it.
     stored: dict[str, quarantine.Ends] = attrs.Factory(dict)
     # Whether fatal requests produce part of their answer before the crash.
-    has_late_ends: bool = False
+    crashes_after_output: bool = False
 
     def add_hosts(self, count: int) -> None:
         """Starts hosts and engines in three data centres."""
@@ -111,7 +111,7 @@
 
     def read_store(self, host: peers.Host) -> None:
         """Has a host read the quarantine from the store."""
-        self.take(host, host.state.restore(self.stored, self.now_s))
+        self.apply(host, host.state.restore(self.stored, self.now_s))
 
     def restart(self, host: peers.Host) -> peers.Host:
         """Restarts a host: it loses its state and its requests."""
@@ -139,25 +139,28 @@
         for host in self.hosts:
             host.state.change_list([(entry.name, entry)], self.now_s)
 
-    def end_engine(self, upstream_id: str) -> None:
+    def crash_engine(self, upstream_id: str) -> None:
         """Crashes an engine; all attempts on it are cut."""
         entry = self.live.pop(upstream_id, None)
         if entry is None:
             return
-        self.ended_s.append(self.now_s)
+        self.crashed_s.append(self.now_s)
         assert entry.layers is not None
         layers = f"{entry.layers.first}-{entry.layers.last}"
         for name, run in list(self.runs.items()):
             if run.start.upstream.id == upstream_id:
-                self._lose(name, run)
-        self.after(LISTED_S, lambda: self._unlist(entry))
-        self.after(AWAY_S, lambda: self.start_engine(entry.data_centre, layers))
+                self._cut(name, run)
+        self.schedule(UNLIST_DELAY_S, lambda: self._unlist(entry))
+        self.schedule(
+            RESTART_DELAY_S,
+            lambda: self.start_engine(entry.data_centre, layers),
+        )
 
     def _unlist(self, entry: upstreams.Upstream) -> None:
         for host in self.hosts:
             host.state.change_list([(entry.name, None)], self.now_s)
 
-    def after(self, seconds: float, work: Callable[[], None]) -> None:
+    def schedule(self, seconds: float, work: Callable[[], None]) -> None:
         """Schedules a call."""
         self.due.append((self.now_s + seconds, work))
 
@@ -169,10 +172,10 @@
             fleets.make_job(name, now_s=self.now_s), fingerprint=fingerprint
         )
         self.waiting[name] = (host, job)
-        self.take(host, host.state.arrive(job, self.now_s))
+        self.apply(host, host.state.arrive(job, self.now_s))
         return name
 
-    def take(self, host: peers.Host, effects: list[jobs.Effect]) -> None:
+    def apply(self, host: peers.Host, effects: list[jobs.Effect]) -> None:
         """Applies the decisions of a host."""
         for effect in effects:
             owner, job = self.waiting.pop(effect.id)
@@ -193,10 +196,10 @@
             self._fail(job.id, run, failure)
         elif job.fingerprint.startswith(FATAL):
             self.reached_s.append(self.now_s)
-            self.after(RUN_S, lambda: self.end_engine(engine))
-            run.is_begun = self.has_late_ends
+            self.schedule(RUN_S, lambda: self.crash_engine(engine))
+            run.is_begun = self.crashes_after_output
 
-    def _lose(self, name: str, run: Run) -> None:
+    def _cut(self, name: str, run: Run) -> None:
         """Cuts an attempt whose engine crashed."""
         reason = f"{run.start.upstream.id}: connection broken"
         failure = jobs.Failure(
@@ -211,7 +214,7 @@
     def _fail(self, name: str, run: Run, failure: jobs.Failure) -> None:
         del self.runs[name]
         self.waiting[name] = (run.host, run.job)
-        self.take(run.host, run.host.state.fail(failure, self.now_s))
+        self.apply(run.host, run.host.state.fail(failure, self.now_s))
 
     def play(self, seconds: float) -> None:
         """Runs the model for some seconds."""
@@ -221,12 +224,12 @@
             peers.do_due(self.due, self.now_s)
             self._answer()
             for host in list(self.hosts):
-                self.take(host, host.state.tick(self.now_s))
+                self.apply(host, host.state.tick(self.now_s))
                 self._probe(host)
                 self._save(host)
                 if self.now_s >= host.next_news_s:
-                    host.next_news_s = self.now_s + NEWS_S
-                    peers.tell(host, self.hosts, self.is_heard, self.now_s)
+                    host.next_news_s = self.now_s + UPDATE_PERIOD_S
+                    peers.tell(host, self.hosts, self.is_delivered, self.now_s)
 
     def _save(self, host: peers.Host) -> None:
         for change in host.state.take_unsaved():
@@ -249,7 +252,7 @@
 
     def finish(self, host: peers.Host, name: str) -> None:
         """Ends a request that was answered completely."""
-        self.take(host, host.state.finish(name, self.now_s, True))
+        self.apply(host, host.state.finish(name, self.now_s, True))
 
     def _probe(self, host: peers.Host) -> None:
         for entry in host.state.fleet.take_probes(self.now_s):
@@ -258,7 +261,7 @@
 
     def count_late(self) -> int:
         """Returns how often fatal requests reached engines past the bound."""
-        if len(self.ended_s) < 3:
+        if len(self.crashed_s) < 3:
             return 0
-        bound_s = self.ended_s[2] + CONTACT_S
+        bound_s = self.crashed_s[2] + SETTLE_S
         return sum(1 for t in self.reached_s if t > bound_s)
--- a/tests/routing/limits.py
+++ b/tests/routing/limits.py
@@ -27,26 +27,26 @@
 STEP_S: Final = 0.02
 
 # Interval of the datagrams of a host.
-NEWS_S: Final = exchange.PERIOD_S
+UPDATE_PERIOD_S: Final = exchange.PERIOD_S
 
 # Duration of an answer by service, in seconds.
 ANSWER_S: Final = {"llm": 1.5, "desk": 0.04}
 
 # Time from an answer with a signal until the host must follow it.
-TOLD_S: Final = 0.5
+REACTION_S: Final = 0.5
 
 # Time from an upstream's first limit until the limit is checked.
-CONTACT_S: Final = 3.0
+SETTLE_S: Final = 3.0
 
 # Window in which requests are counted.
 WINDOW_S: Final = 4.0
 
 # Factor and number of requests by which a window may exceed the limit.
 SLACK: Final = 1.5
-SPARE: Final = 5
+EXTRA_REQUESTS: Final = 5
 
 # Time that hosts run, with callers, before a history begins.
-LEAD_S: Final = 2.0
+WARMUP_S: Final = 2.0
 
 
 @attrs.define(eq=False)
@@ -54,7 +54,7 @@
     """A host with the signals that it received."""
 
     # When it first received an answer with a limit, by upstream.
-    told_s: dict[str, float] = attrs.Factory(dict)
+    limited_s: dict[str, float] = attrs.Factory(dict)
 
 
 @attrs.frozen
@@ -63,8 +63,8 @@
 
     at_s: float
     host: Host
-    # Whether its host received an answer with a limit at least `TOLD_S` ago.
-    is_told: bool
+    # Whether its host received the limit at least `REACTION_S` before.
+    is_informed: bool
 
 
 @attrs.define
@@ -78,7 +78,7 @@
     # Current limits of upstreams.
     limits: dict[str, float] = attrs.Factory(dict)
     # Times and values of their limits, oldest first.
-    named: dict[str, list[tuple[float, float]]] = attrs.Factory(dict)
+    limit_history: dict[str, list[tuple[float, float]]] = attrs.Factory(dict)
     arrivals: dict[str, list[Arrival]] = attrs.Factory(dict)
     due: peers.Due = attrs.Factory(list)
     # Requests without a decision yet: when each arrived.
@@ -87,9 +87,9 @@
     # Arrival time, waiting time and answer of each refused request.
     refused: list[tuple[float, float, errors.Refusal]] = attrs.Factory(list)
     # Fraction of datagrams that are lost.
-    lost: float = 0.0
+    loss_rate: float = 0.0
     # Data centres that exchange no datagrams with others.
-    apart: frozenset[str] = frozenset()
+    partitioned: frozenset[str] = frozenset()
     count: int = 0
     # Upstreams that refuse all requests, with their backoff in seconds.
     away: dict[str, float] = attrs.Factory(dict)
@@ -98,7 +98,7 @@
     # Backoffs that hosts received: upstream, host, time and seconds.
     backoffs: list[tuple[str, Host, float, float]] = attrs.Factory(list)
     # When a host first received that an upstream leaves, by id and host's IP.
-    farewells: dict[tuple[str, str], float] = attrs.Factory(dict)
+    leaving_s: dict[tuple[str, str], float] = attrs.Factory(dict)
     # Logged reasons why requests had no path.
     notes: list[decisions.PathMissing] = attrs.Factory(list)
 
@@ -140,29 +140,31 @@
         for host in self.hosts:
             host.state.change_list([(entry.name, entry)], self.now_s)
 
-    def name_limit(self, upstream_id: str, per_s: float | None) -> None:
+    def set_limit(self, upstream_id: str, per_s: float | None) -> None:
         """Sets the limit of an upstream; None lifts it."""
         if per_s is None:
             del self.limits[upstream_id]
-            del self.named[upstream_id]
+            del self.limit_history[upstream_id]
             return
         self.limits[upstream_id] = per_s
-        self.named.setdefault(upstream_id, []).append((self.now_s, per_s))
+        self.limit_history.setdefault(upstream_id, []).append(
+            (self.now_s, per_s)
+        )
 
     def restart(self, hosts: Collection[Host]) -> None:
         """Restarts hosts; they lose their state."""
         for host in hosts:
             host.state = self._make(host.data_centre)
-            host.told_s.clear()
+            host.limited_s.clear()
 
     def send(self, host: Host, kind: str) -> None:
         """Has a caller's request arrive at a host."""
         self.count += 1
         job = fleets.make_job(f"r{self.count}", kind, now_s=self.now_s)
         self.waiting[job.id] = self.now_s
-        self._take(host, host.state.arrive(job, self.now_s))
+        self._apply(host, host.state.arrive(job, self.now_s))
 
-    def _take(self, host: Host, effects: list[jobs.Effect]) -> None:
+    def _apply(self, host: Host, effects: list[jobs.Effect]) -> None:
         self.notes += [
             n
             for n in host.state.take_notes()
@@ -174,13 +176,15 @@
                 waited_s = self.now_s - arrived_s
                 self.refused.append((arrived_s, waited_s, effect.refusal))
                 continue
-            self._reach(host, effect, arrived_s)
+            self._deliver(host, effect, arrived_s)
 
-    def _reach(self, host: Host, start: jobs.Start, arrived_s: float) -> None:
+    def _deliver(self, host: Host, start: jobs.Start, arrived_s: float) -> None:
         upstream_id = start.upstream.id
-        told_s = host.told_s.get(upstream_id, self.now_s)
-        is_told = self.now_s - told_s >= TOLD_S
-        self.arrivals[upstream_id].append(Arrival(self.now_s, host, is_told))
+        since_s = host.limited_s.get(upstream_id, self.now_s)
+        is_informed = self.now_s - since_s >= REACTION_S
+        self.arrivals[upstream_id].append(
+            Arrival(self.now_s, host, is_informed)
+        )
         state = host.state
         answer = signals.Signals(
             self.limits.get(upstream_id),
@@ -192,10 +196,10 @@
             if host.state is not state:
                 return
             if answer.per_s is not None:
-                host.told_s.setdefault(upstream_id, self.now_s)
+                host.limited_s.setdefault(upstream_id, self.now_s)
             if answer.is_leaving:
-                self.farewells.setdefault((upstream_id, host.ip), self.now_s)
-            self._take(
+                self.leaving_s.setdefault((upstream_id, host.ip), self.now_s)
+            self._apply(
                 host, state.note_signals(upstream_id, answer, self.now_s)
             )
             state.note_answer(start.id, self.now_s)
@@ -204,7 +208,7 @@
             if host.state is not state:
                 return
             self.answered.append(arrived_s)
-            self._take(host, state.finish(start.id, self.now_s, True))
+            self._apply(host, state.finish(start.id, self.now_s, True))
 
         def turn_away() -> None:
             if host.state is not state:
@@ -213,12 +217,12 @@
             self.backoffs.append(
                 (upstream_id, host, self.now_s, answer.backoff_s)
             )
-            self._take(
+            self._apply(
                 host, state.note_signals(upstream_id, answer, self.now_s)
             )
             self.waiting[start.id] = arrived_s
             failure = jobs.Failure(start.id, jobs.Why.REFUSED, "503")
-            self._take(host, state.fail(failure, self.now_s))
+            self._apply(host, state.fail(failure, self.now_s))
 
         if answer.backoff_s is not None:
             self.due.append((self.now_s, turn_away))
@@ -249,12 +253,13 @@
             for host in self.hosts:
                 # Like the ticker of `egretspur.routing.probes`.
                 if host.state.is_busy():
-                    self._take(host, host.state.tick(self.now_s))
+                    self._apply(host, host.state.tick(self.now_s))
                 if self.now_s >= host.next_news_s:
-                    host.next_news_s = self.now_s + NEWS_S * self.rng.uniform(
-                        0.95, 1.05
+                    host.next_news_s = (
+                        self.now_s
+                        + UPDATE_PERIOD_S * self.rng.uniform(0.95, 1.05)
                     )
-                    self._tell(host)
+                    self._send_update(host)
             for _ in range(self._draw(rate * STEP_S)):
                 self.send(self.rng.choice(list(to or self.hosts)), kind)
 
@@ -267,25 +272,25 @@
             left += self.rng.expovariate(1.0)
         return count
 
-    def _tell(self, host: Host) -> None:
-        heard = peers.tell(host, self.hosts, self._is_heard, self.now_s)
+    def _send_update(self, host: Host) -> None:
+        heard = peers.tell(host, self.hosts, self._is_delivered, self.now_s)
         for other in heard:
             other.state.note_hosts(len(self.hosts))
 
-    def _is_heard(self, host: peers.Host, other: peers.Host) -> bool:
+    def _is_delivered(self, host: peers.Host, other: peers.Host) -> bool:
         """Returns whether a datagram between two hosts arrives."""
         places = {host.data_centre, other.data_centre}
-        if len(places) > 1 and places & self.apart:
+        if len(places) > 1 and places & self.partitioned:
             return False
-        return self.rng.random() >= self.lost
+        return self.rng.random() >= self.loss_rate
 
     def find_worst(self, upstream_id: str) -> tuple[float, int, float]:
         """Returns the worst window: requests per allowed one, and both."""
-        since_s = self.named[upstream_id][0][0] + CONTACT_S
+        since_s = self.limit_history[upstream_id][0][0] + SETTLE_S
         times = [
             a.at_s
             for a in self.arrivals[upstream_id]
-            if a.is_told and a.at_s >= since_s - WINDOW_S
+            if a.is_informed and a.at_s >= since_s - WINDOW_S
         ]
         worst = (0.0, 0, 0.0)
         for i, start_s in enumerate(times):
@@ -302,16 +307,16 @@
 
         The highest limit that was in force in the window counts.
         """
-        named = self.named[upstream_id]
+        named = self.limit_history[upstream_id]
         ends = [at_s for at_s, _ in named[1:]] + [math.inf]
         highest = max(
             per_s
             for (at_s, per_s), until_s in zip(named, ends, strict=True)
             if at_s < start_s + WINDOW_S and until_s > start_s
         )
-        return SLACK * highest * WINDOW_S + SPARE
+        return SLACK * highest * WINDOW_S + EXTRA_REQUESTS
 
-    def find_unrested(self) -> tuple[int, str, str]:
+    def find_backoff_violation(self) -> tuple[int, str, str]:
         """Returns the most requests that a host sent during one backoff.
 
         The upstream's id and the host's IP address follow.
@@ -319,7 +324,8 @@
         worst = (0, "", "")
         for upstream_id, host, at_s, backoff_s in self.backoffs:
             got = sum(
-                a.host is host and at_s + TOLD_S <= a.at_s < at_s + backoff_s
+                a.host is host
+                and at_s + REACTION_S <= a.at_s < at_s + backoff_s
                 for a in self.arrivals[upstream_id]
             )
             worst = max(worst, (got, upstream_id, host.ip))
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -50,15 +50,15 @@
 )
 def step_bounded(context: Any, most: int, after_s: float) -> None:
     world = context.world
-    assert after_s == crashes.CONTACT_S
-    assert len(world.ended_s) >= 1
+    assert after_s == crashes.SETTLE_S
+    assert len(world.crashed_s) >= 1
     late = world.count_late()
-    assert late <= most, (late, len(world.ended_s))
+    assert late <= most, (late, len(world.crashed_s))
 
 
 @given("engines that send an event before they crash")
 def step_late_ends(context: Any) -> None:
-    context.world.has_late_ends = True
+    context.world.crashes_after_output = True
 
 
 @when(
@@ -76,7 +76,7 @@
             world.send(world.rng.choice(world.hosts), crashes.FATAL)
         world.play(1 / rate)
     world.play(5.0)
-    assert len(world.ended_s) >= 3
+    assert len(world.crashed_s) >= 3
 
 
 @then("only that one is quarantined, at every host")
@@ -126,7 +126,7 @@
 
 @given('the hosts of "{place}" and all others exchange no datagrams')
 def step_cut_off(context: Any, place: str) -> None:
-    context.world.is_heard = lambda a, b: (
+    context.world.is_delivered = lambda a, b: (
         (a.data_centre == place) == (b.data_centre == place)
     )
 
@@ -134,7 +134,7 @@
 @given("a fifth of the datagrams between hosts are lost")
 def step_lossy(context: Any) -> None:
     rng = random.Random(3)
-    context.world.is_heard = lambda a, b: rng.random() >= 0.2
+    context.world.is_delivered = lambda a, b: rng.random() >= 0.2
 
 
 def hear_ends(state: broker.Broker, count: int, now_s: float) -> None:
@@ -161,7 +161,7 @@
 def step_third(context: Any) -> None:
     for host in context.world.hosts:
         hear_ends(host.state, 3, context.world.now_s)
-        context.world.take(host, host.state.tick(context.world.now_s))
+        context.world.apply(host, host.state.tick(context.world.now_s))
 
 
 @then("the queued ones are refused at once, as not run")
@@ -213,7 +213,7 @@
         run = world.runs.pop(name)
         world.waiting[name] = (host, run.job)
         failure = jobs.Failure(name, jobs.Why.CUT, "reset")
-        world.take(host, host.state.fail(failure, world.now_s))
+        world.apply(host, host.state.fail(failure, world.now_s))
         if name in world.runs:
             del world.runs[name]
             host.state.finish(name, world.now_s)
@@ -319,7 +319,7 @@
     world = context.world
     world.send(world.hosts[0], crashes.FATAL, "r")
     world.play(1.0)
-    assert len(world.ended_s) == 1
+    assert len(world.crashed_s) == 1
 
 
 @then("it is refused as having run, and no retry was taken for it")
--- a/tests/steps/limits_steps.py
+++ b/tests/steps/limits_steps.py
@@ -29,26 +29,26 @@
 def step_replicas(context: Any, hosts: int) -> None:
     world = make_world(context, hosts)
     world.add_replicas(REPLICAS)
-    world.play(limits.LEAD_S, 10.0)
+    world.play(limits.WARMUP_S, 10.0)
 
 
 @given("{hosts:d} hosts before a chain of engines in each data centre")
 def step_engines(context: Any, hosts: int) -> None:
     world = make_world(context, hosts)
     world.add_engines()
-    world.play(limits.LEAD_S, 10.0, "streaming")
+    world.play(limits.WARMUP_S, 10.0, "streaming")
 
 
 @when("{who} set a limit of {per_s:g} a second")
 def step_name(context: Any, who: str, per_s: float) -> None:
     for name in REPLICAS if who == "all" else REPLICAS[:1]:
-        context.world.name_limit(name, per_s)
+        context.world.set_limit(name, per_s)
 
 
 @when("the first engines of two data centres set limits of {one:g} and {two:g}")
 def step_name_engines(context: Any, one: float, two: float) -> None:
-    context.world.name_limit(FIRST_ENGINES[0], one)
-    context.world.name_limit(FIRST_ENGINES[1], two)
+    context.world.set_limit(FIRST_ENGINES[0], one)
+    context.world.set_limit(FIRST_ENGINES[1], two)
 
 
 @when("{rate:g} requests a second arrive for {seconds:g} s")
@@ -87,7 +87,7 @@
 @when("each first engine is down to {per_s:g} requests a second")
 def step_name_first(context: Any, per_s: float) -> None:
     for name in FIRST_ENGINES:
-        context.world.name_limit(name, per_s)
+        context.world.set_limit(name, per_s)
 
 
 @when("{rate:g} requests a second arrive while {what}")
@@ -119,14 +119,14 @@
 
 def lose_news(world: limits.World, rate: float) -> None:
     """Loses datagrams."""
-    world.lost = 0.4
+    world.loss_rate = 0.4
     move_callers(world, rate)
 
 
 def cut_off(world: limits.World, rate: float) -> None:
     """Cuts all data centres off from each other."""
     world.play(4, rate)
-    world.apart = frozenset(fleets.DATA_CENTRES)
+    world.partitioned = frozenset(fleets.DATA_CENTRES)
     world.play(8, rate)
 
 
@@ -134,7 +134,7 @@
     """Has limits fall and rise."""
     for per_s in (30.0, 4.0, 30.0, 4.0):
         for name in REPLICAS:
-            world.name_limit(name, per_s)
+            world.set_limit(name, per_s)
         world.play(5, rate)
 
 
@@ -195,7 +195,7 @@
 
 @when("the limit is lifted")
 def step_lifted(context: Any) -> None:
-    context.world.name_limit(REPLICAS[0], None)
+    context.world.set_limit(REPLICAS[0], None)
 
 
 @when("{rate:g} requests a second arrive at {who} for {seconds:g} s")
@@ -210,7 +210,7 @@
 @when("that replica restarts")
 def step_reborn(context: Any) -> None:
     entry = context.world.entries[REPLICAS[0]]
-    context.world.name_limit(entry.id, None)
+    context.world.set_limit(entry.id, None)
     context.world.add(attrs.evolve(entry, id=f"{entry.name}@2", born_ms=2))
 
 
@@ -289,7 +289,7 @@
 
 @then("no host sends it anything during its backoff")
 def step_unrested(context: Any) -> None:
-    got, upstream_id, host = context.world.find_unrested()
+    got, upstream_id, host = context.world.find_backoff_violation()
     assert context.world.backoffs
     assert not got, (got, upstream_id, host)
 
@@ -331,11 +331,11 @@
 )
 def step_left(context: Any, bound_s: float) -> None:
     world = context.world
-    assert world.farewells
-    for (upstream_id, ip), told_s in world.farewells.items():
+    assert world.leaving_s
+    for (upstream_id, ip), known_s in world.leaving_s.items():
         late = [
-            a.at_s - told_s
+            a.at_s - known_s
             for a in world.arrivals[upstream_id]
-            if a.host.ip == ip and a.at_s > told_s + bound_s
+            if a.host.ip == ip and a.at_s > known_s + bound_s
         ]
         assert not late, (upstream_id, ip, late)
