--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -437,10 +437,10 @@
         if not self._engines.start(run):
             req.run = None
             self._timeline.after(
-                0.002, lambda: self._fail(req, jobs.Why.REFUSED)
+                0.002, lambda: self._fail(req, jobs.FailureKind.REFUSED)
             )
 
-    def _fail(self, req: _Request, why: jobs.Why) -> None:
+    def _fail(self, req: _Request, why: jobs.FailureKind) -> None:
         if req.is_over:
             return
         if req.run is not None:
@@ -570,11 +570,11 @@
             parts = None
             if self._policy.is_moving:
                 stalled = frozenset([engine.id])
-                parts = state.repath(run.id, stalled, now_s).parts
+                parts = state.reroute(run.id, stalled, now_s).parts
             if parts is not None and self._can_run(parts):
                 self._engines.move(run, parts)
             else:
-                self._fail(req, jobs.Why.CUT)
+                self._fail(req, jobs.FailureKind.CUT)
 
     def _can_run(self, parts: Sequence[paths.Part]) -> bool:
         return not any(self._engines.engines[p.id].is_dead for p in parts)
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -48,7 +48,7 @@
 class Lost:
     """An attempt that brought no answer, or whose answer broke off."""
 
-    why: jobs.Why
+    why: jobs.FailureKind
     reason: str
     blamed: tuple[str, ...] = ()
 
@@ -312,7 +312,7 @@
             return res
         form = self._judge(res, has_begun=True)
         if isinstance(form, answers.Unfit):
-            return Lost(jobs.Why.FAILED, form.reason)
+            return Lost(jobs.FailureKind.FAILED, form.reason)
         return res
 
     def _judge(
@@ -338,7 +338,7 @@
                 self._desk.tell(desk.Answered(self.job.id))
                 return whole
             self._failed = whole
-            return Lost(jobs.Why.FAILED, f"status {answer.status}")
+            return Lost(jobs.FailureKind.FAILED, f"status {answer.status}")
         while not self._first:
             res = self._read_events(answer)
             if isinstance(res, Lost):
@@ -379,7 +379,7 @@
                 return self._check_end(answer)
             passed = self._merge.feed(data)
             if isinstance(passed, events.Flaw):
-                return Lost(jobs.Why.CUT, f"events: {passed.value}")
+                return Lost(jobs.FailureKind.CUT, f"events: {passed.value}")
             if passed:
                 self.has_begun = True
                 self._note_event()
@@ -389,14 +389,14 @@
         """Returns why events that have ended are not whole, if so."""
         flaw = self._merge.flaw
         if flaw is not None:
-            return Lost(jobs.Why.CUT, f"events: {flaw.value}")
+            return Lost(jobs.FailureKind.CUT, f"events: {flaw.value}")
         if self._merge.has_rest():
-            return Lost(jobs.Why.CUT, "ended within an event")
+            return Lost(jobs.FailureKind.CUT, "ended within an event")
         before = self._count_before
         unfit = answers.judge_end(
             answer.status, before > 0, self._merge.count > before
         )
-        return Lost(jobs.Why.FAILED, unfit.reason) if unfit else None
+        return Lost(jobs.FailureKind.FAILED, unfit.reason) if unfit else None
 
     def _note_event(self) -> None:
         now_s = self.heard_s
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -291,7 +291,7 @@
         Else it is left to go on: its engine may only be slow, and if it is
         dead the platform cuts the answer itself.
         """
-        if self._desk.secure_repeat(stream.job.id):
+        if self._desk.reserve_retry(stream.job.id):
             stream.interrupt()
 
     def _move(self, stream: forward.Forward, stalled: frozenset[str]) -> bool:
@@ -300,7 +300,7 @@
         moved_s = self._moved.get(stream)
         if moved_s is not None:
             return now_s - moved_s < _get_hopeless_s(stream)
-        detour = self._desk.repath(stream.job.id, stalled, stream.has_begun)
+        detour = self._desk.reroute(stream.job.id, stalled, stream.has_begun)
         if detour.is_ended:
             stream.interrupt()
             return True
--- a/egretspur/platform/upstream.py
+++ b/egretspur/platform/upstream.py
@@ -98,7 +98,9 @@
             res = conn.getresponse()
         except Exception as exc:  # the library's, the socket's, http.client's
             handle.close()
-            return forward.Lost(jobs.Why.CUT, f"{start.upstream.id}: {exc!r}")
+            return forward.Lost(
+                jobs.FailureKind.CUT, f"{start.upstream.id}: {exc!r}"
+            )
         if res.status != MISDIRECTED:
             self._note_signals(
                 start.upstream.id,
@@ -185,9 +187,9 @@
         try:
             data = self._res.read1(_MAX_READ)
         except Exception as exc:  # the library's, the socket's, http.client's
-            return forward.Lost(jobs.Why.CUT, repr(exc))
+            return forward.Lost(jobs.FailureKind.CUT, repr(exc))
         if not data and not self._may_end:
-            return forward.Lost(jobs.Why.CUT, "closed before its body")
+            return forward.Lost(jobs.FailureKind.CUT, "closed before its body")
         self._may_end = True
         return data
 
@@ -222,7 +224,7 @@
         conn.connect()
     except (exceptions.HTTPError, OSError) as exc:
         conn.close()
-        return forward.Lost(jobs.Why.UNREACHABLE, f"{address}: {exc!r}")
+        return forward.Lost(jobs.FailureKind.UNREACHABLE, f"{address}: {exc!r}")
     return conn
 
 
@@ -267,21 +269,25 @@
     if res.status == MISDIRECTED:
         blamed = _find_blamed(start, res) or (who,)
         return forward.Lost(
-            jobs.Why.MISDIRECTED, f"{who}: another has the address", blamed
+            jobs.FailureKind.MISDIRECTED,
+            f"{who}: another has the address",
+            blamed,
         )
     if res.headers.get(names.NOT_RUN):
         return forward.Lost(
-            jobs.Why.REFUSED,
+            jobs.FailureKind.REFUSED,
             f"{who}: refused with {res.status}",
             _find_blamed(start, res),
         )
     if res.headers.get(names.REQUEST_ID) != call.id:
         return forward.Lost(
-            jobs.Why.CUT, f"{who}: an answer of another request", (who,)
+            jobs.FailureKind.CUT, f"{who}: an answer of another request", (who,)
         )
     if not res.headers.get(names.RECEIPT):
         return forward.Lost(
-            jobs.Why.FAILED, f"{who}: status {res.status}, no receipt", (who,)
+            jobs.FailureKind.FAILED,
+            f"{who}: status {res.status}, no receipt",
+            (who,),
         )
     return None
 
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -119,9 +119,9 @@
         self._release(ticket)
         ticket.is_begun |= failure.is_begun
         self._record_failure(ticket, upstream_id, failure, now_s)
-        if failure.why is jobs.Why.CUT:
+        if failure.kind is jobs.FailureKind.CUT:
             self._crashes.note_cut(
-                ticket.job.fingerprint, stages, failure.has_brought, now_s
+                ticket.job.fingerprint, stages, failure.has_output, now_s
             )
         refusal = self._check_retry(ticket, failure, now_s)
         if refusal is not None:
@@ -198,41 +198,41 @@
                 )
             )
 
-    def repath(
+    def reroute(
         self,
         job_id: str,
         stalled: frozenset[str],
         now_s: float,
-        has_brought: bool = False,
-    ) -> jobs.Detour:
+        has_output: bool = False,
+    ) -> jobs.RerouteDecision:
         """Reroutes a running request around stalled engines.
 
         Args:
             job_id: The request.
             stalled: Ids of the engines that delay it.
             now_s: Monotonic time.
-            has_brought: Whether its attempt has produced part of the answer.
+            has_output: Whether its attempt has produced part of the answer.
         """
         ticket = self.tickets.get(job_id)
         spec = self._get_spec(ticket.job.service) if ticket else None
         if ticket is None or spec is None or not ticket.parts:
-            return jobs.Detour(None)
+            return jobs.RerouteDecision(None)
         # The engines that it is moved to may crash under it as well.
         self._crashes.note_cut(
-            ticket.job.fingerprint, tuple(sorted(stalled)), has_brought, now_s
+            ticket.job.fingerprint, tuple(sorted(stalled)), has_output, now_s
         )
         if self.quarantine.is_held(ticket.job.fingerprint):
-            return jobs.Detour(None, is_ended=True)
-        detour = self._find_reroute(
+            return jobs.RerouteDecision(None, is_ended=True)
+        decision = self._find_reroute(
             ticket, spec, stalled, self._can_resume(ticket), now_s
         )
-        if detour.is_ended and not self._take_retry(ticket, now_s):
-            detour = self._find_reroute(ticket, spec, stalled, False, now_s)
-        if detour.parts is not None:
+        if decision.is_ended and not self._take_retry(ticket, now_s):
+            decision = self._find_reroute(ticket, spec, stalled, False, now_s)
+        if decision.parts is not None:
             self._add_memory_use(ticket, -1)
-            ticket.parts = detour.parts
+            ticket.parts = decision.parts
             self._add_memory_use(ticket, 1)
-        return detour
+        return decision
 
     def _find_reroute(
         self,
@@ -241,12 +241,12 @@
         stalled: frozenset[str],
         may_resume: bool,
         now_s: float,
-    ) -> jobs.Detour:
+    ) -> jobs.RerouteDecision:
         return self.search.find_detour(
             ticket.job, spec, ticket.parts, stalled, may_resume, now_s
         )
 
-    def secure_repeat(self, job_id: str, now_s: float) -> bool:
+    def reserve_retry(self, job_id: str, now_s: float) -> bool:
         """Returns whether a running attempt may be ended and retried.
 
         The retry is taken from the budget at once. Otherwise, a silent attempt
@@ -668,21 +668,21 @@
         failure: jobs.Failure,
         now_s: float,
     ) -> None:
-        if failure.why is jobs.Why.REFUSED:
+        if failure.kind is jobs.FailureKind.REFUSED:
             ticket.refusals += 1
-        elif failure.why in (jobs.Why.CUT, jobs.Why.FAILED):
+        elif failure.kind in (jobs.FailureKind.CUT, jobs.FailureKind.FAILED):
             ticket.runs += 1
         blamed = set(failure.blamed)
         if not blamed and first_id:
             blamed.add(first_id)
         ticket.failed |= blamed
-        if failure.why is jobs.Why.REFUSED:
+        if failure.kind is jobs.FailureKind.REFUSED:
             until_s = now_s + REFUSAL_DELAY_S
             ticket.refused.update(dict.fromkeys(blamed, until_s))
         for upstream_id in blamed:
-            if failure.why is jobs.Why.UNREACHABLE:
+            if failure.kind is jobs.FailureKind.UNREACHABLE:
                 self.fleet.health.note_down(upstream_id, now_s)
-            elif failure.why is jobs.Why.CUT:
+            elif failure.kind is jobs.FailureKind.CUT:
                 self.fleet.health.note_fault(upstream_id, now_s)
             elif failure.blamed:
                 # It may also be down; the probe finds out.
--- a/egretspur/routing/crashes.py
+++ b/egretspur/routing/crashes.py
@@ -36,14 +36,14 @@
         self,
         fingerprint: str,
         upstream_ids: tuple[str, ...],
-        has_brought: bool,
+        has_output: bool,
         now_s: float,
     ) -> None:
         """Records that one of these upstreams may have crashed."""
         if not upstream_ids:
             return
         self._quarantine.note_cut(
-            quarantines.Cut(fingerprint, upstream_ids, has_brought, now_s),
+            quarantines.Cut(fingerprint, upstream_ids, has_output, now_s),
             now_s,
         )
         self.settle(now_s)
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -65,17 +65,17 @@
 
 
 @attrs.frozen
-class Repath:
+class Reroute:
     """Asks to reroute a running request around stalled engines."""
 
     id: str
     stalled: frozenset[str]
     # Whether its attempt has produced part of the answer.
-    has_brought: bool
+    has_output: bool
 
 
 @attrs.frozen
-class SecureRepeat:
+class ReserveRetry:
     """Asks whether a running attempt may be ended and retried."""
 
     id: str
@@ -244,17 +244,17 @@
         )
 
     @handle.register
-    def _(self, message: Repath) -> jobs.Detour:
-        return self._broker.repath(
+    def _(self, message: Reroute) -> jobs.RerouteDecision:
+        return self._broker.reroute(
             message.id,
             message.stalled,
             time.monotonic(),
-            message.has_brought,
+            message.has_output,
         )
 
     @handle.register
-    def _(self, message: SecureRepeat) -> bool:
-        return self._broker.secure_repeat(message.id, time.monotonic())
+    def _(self, message: ReserveRetry) -> bool:
+        return self._broker.reserve_retry(message.id, time.monotonic())
 
     @handle.register
     def _(self, message: Configure) -> None:
@@ -395,19 +395,19 @@
             return
         self._ref.tell(NoteSignals(upstream_id, answer))
 
-    def repath(
-        self, job_id: str, stalled: frozenset[str], has_brought: bool
-    ) -> jobs.Detour:
+    def reroute(
+        self, job_id: str, stalled: frozenset[str], has_output: bool
+    ) -> jobs.RerouteDecision:
         """Reroutes a running request around stalled engines."""
-        found: jobs.Detour = actors.ask(
-            self._ref, Repath(job_id, stalled, has_brought)
+        found: jobs.RerouteDecision = actors.ask(
+            self._ref, Reroute(job_id, stalled, has_output)
         )
         return found
 
-    def secure_repeat(self, job_id: str) -> bool:
+    def reserve_retry(self, job_id: str) -> bool:
         """Returns whether a running attempt may be ended and retried."""
-        is_secured: bool = actors.ask(self._ref, SecureRepeat(job_id))
-        return is_secured
+        is_reserved: bool = actors.ask(self._ref, ReserveRetry(job_id))
+        return is_reserved
 
     def may_ask(self, upstream_id: str) -> bool:
         """Returns whether an upstream may be queried; counts the query."""
--- a/egretspur/routing/jobs.py
+++ b/egretspur/routing/jobs.py
@@ -30,7 +30,7 @@
     fingerprint: str = ""
 
 
-class Why(enum.Enum):
+class FailureKind(enum.Enum):
     """How an attempt failed."""
 
     # No connection could be made; nothing was sent.
@@ -51,14 +51,14 @@
     """A failed attempt."""
 
     id: str
-    why: Why
+    kind: FailureKind
     reason: str
     # Ids of upstreams known to be at fault; empty if any on the path may be.
     blamed: tuple[str, ...] = ()
     # Whether the caller has received part of the answer.
     is_begun: bool = False
     # Whether this attempt produced part of the answer.
-    has_brought: bool = False
+    has_output: bool = False
 
 
 @attrs.frozen
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class Detour:
+class RerouteDecision:
     """How a running request is rerouted around stalled engines."""
 
     # The new path, with the same first stage; None if there is none.
--- a/egretspur/routing/retries.py
+++ b/egretspur/routing/retries.py
@@ -73,4 +73,4 @@
 
 
 def _describe(failure: jobs.Failure) -> str:
-    return f"{failure.why.value}: {failure.reason}"
+    return f"{failure.kind.value}: {failure.reason}"
--- a/egretspur/routing/search.py
+++ b/egretspur/routing/search.py
@@ -140,7 +140,7 @@
         stalled: frozenset[str],
         may_resume: bool,
         now_s: float,
-    ) -> jobs.Detour:
+    ) -> jobs.RerouteDecision:
         """Finds how a running request gets past engines that hold it up.
 
         Within its data centres if it can be. To another one its tokens so far
@@ -168,13 +168,13 @@
             and may_resume
             and self.choose(job, spec, offers, now_s)
         ):
-            return jobs.Detour(None, True)
+            return jobs.RerouteDecision(None, True)
         for places in (near, offers.places):
             if found is None and keeps_first:
                 found = self._find_tail(
                     job, spec, parts[0], offers, places, math.inf
                 )
-        return jobs.Detour(found)
+        return jobs.RerouteDecision(found)
 
     def _find_tail(
         self,
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -192,7 +192,9 @@
         engine = start.upstream.id
         self.runs[job.id] = run
         if engine not in self.live:
-            failure = jobs.Failure(job.id, jobs.Why.UNREACHABLE, "no listener")
+            failure = jobs.Failure(
+                job.id, jobs.FailureKind.UNREACHABLE, "no listener"
+            )
             self._fail(job.id, run, failure)
         elif job.fingerprint.startswith(FATAL):
             self.reached_s.append(self.now_s)
@@ -204,10 +206,10 @@
         reason = f"{run.start.upstream.id}: connection broken"
         failure = jobs.Failure(
             name,
-            jobs.Why.CUT,
+            jobs.FailureKind.CUT,
             reason,
             is_begun=run.is_begun,
-            has_brought=run.is_begun,
+            has_output=run.is_begun,
         )
         self._fail(name, run, failure)
 
--- a/tests/routing/limits.py
+++ b/tests/routing/limits.py
@@ -221,7 +221,7 @@
                 host, state.note_signals(upstream_id, answer, self.now_s)
             )
             self.waiting[start.id] = arrived_s
-            failure = jobs.Failure(start.id, jobs.Why.REFUSED, "503")
+            failure = jobs.Failure(start.id, jobs.FailureKind.REFUSED, "503")
             self._apply(host, state.fail(failure, self.now_s))
 
         if answer.backoff_s is not None:
--- a/tests/steps/ablation_steps.py
+++ b/tests/steps/ablation_steps.py
@@ -79,7 +79,7 @@
     for state in context.brokers:
         state.arrive(fleets.make_job("r"), 0.0)
         stalled = frozenset(["a100-1-kl-hall"])
-        context.detours.append(state.repath("r", stalled, 0.1))
+        context.detours.append(state.reroute("r", stalled, 0.1))
 
 
 @then("the one without sends its tokens over, the other one resumes it")
@@ -87,7 +87,7 @@
     without, whole = context.detours
     assert without.parts is not None and not without.is_ended
     assert any(p.id.endswith("pg-hall") for p in without.parts)
-    assert whole == jobs.Detour(None, True)
+    assert whole == jobs.RerouteDecision(None, True)
 
 
 @when("the commands for 2 sites, 1 day and 2 seeds are made")
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -173,7 +173,9 @@
     arrive(context, "r", kind)
     for _ in range(times):
         start = context.started.pop("r")
-        failure = jobs.Failure("r", jobs.Why(why), "test", (start.upstream.id,))
+        failure = jobs.Failure(
+            "r", jobs.FailureKind(why), "test", (start.upstream.id,)
+        )
         # Engines that failed are back at once; only the request counts here.
         take(context, context.broker.fail(failure, context.now_s))
         for name in list(context.broker.fleet.health.failed):
@@ -199,7 +201,7 @@
     roster = context.broker.fleet.roster
     for name in CHAIN:
         upstreams.drop(roster, name, context.now_s)
-    failure = jobs.Failure("r", jobs.Why(why), "test")
+    failure = jobs.Failure("r", jobs.FailureKind(why), "test")
     take(context, context.broker.fail(failure, context.now_s))
 
 
@@ -259,7 +261,9 @@
 def step_unreachable(context: Any) -> None:
     arrive(context, "r")
     assert context.started["r"].upstream.id == "a100-0"
-    failure = jobs.Failure("r", jobs.Why.UNREACHABLE, "test", ("a100-0",))
+    failure = jobs.Failure(
+        "r", jobs.FailureKind.UNREACHABLE, "test", ("a100-0",)
+    )
     take(context, context.broker.fail(failure, context.now_s))
     context.down_s = context.now_s
 
@@ -352,16 +356,16 @@
         upstreams.put(context.broker.fleet.roster, other, context.now_s)
     arrive(context, "r")
     first = context.started["r"].parts[0].id
-    context.detour = context.broker.repath(
+    context.decision = context.broker.reroute(
         "r", frozenset([first]), context.now_s
     )
 
 
 @then("its attempt is {end}")
 def step_attempt_end(context: Any, end: str) -> None:
-    assert context.detour.is_ended == (end == "ended"), context.detour
-    is_secured = context.broker.secure_repeat("r", context.now_s)
-    assert is_secured == (end == "ended")
+    assert context.decision.is_ended == (end == "ended"), context.decision
+    is_reserved = context.broker.reserve_retry("r", context.now_s)
+    assert is_reserved == (end == "ended")
 
 
 @then("the log has the retry as {event}, with {sent:d} sent of {part:d}")
@@ -379,7 +383,7 @@
 def step_turned_away(context: Any) -> None:
     arrive(context, "r")
     context.first = context.started["r"].parts[0].id
-    failure = jobs.Failure("r", jobs.Why.REFUSED, "full", (), False)
+    failure = jobs.Failure("r", jobs.FailureKind.REFUSED, "full", (), False)
     context.effects = context.broker.fail(failure, context.now_s)
 
 
@@ -428,7 +432,7 @@
 @then("it is resumed with one retry spent")
 def step_one_repeat(context: Any) -> None:
     spent = context.broker.repeats.list_spent(context.now_s)["llm"]
-    failure = jobs.Failure("r", jobs.Why.CUT, "interrupted", (), True)
+    failure = jobs.Failure("r", jobs.FailureKind.CUT, "interrupted", (), True)
     effects = context.broker.fail(failure, context.now_s)
     assert isinstance(effects[0], jobs.Start), effects
     assert context.broker.repeats.list_spent(context.now_s)["llm"] == spent
@@ -439,7 +443,7 @@
 def step_stalls(context: Any) -> None:
     arrive(context, "r")
     context.before = context.started["r"].parts
-    context.moved = context.broker.repath(
+    context.moved = context.broker.reroute(
         "r", frozenset(["a100-1"]), context.now_s
     ).parts
 
--- a/tests/steps/choice_steps.py
+++ b/tests/steps/choice_steps.py
@@ -75,14 +75,14 @@
     assert isinstance(first[0], jobs.Start), first
     ticket = context.state.tickets["r"]
     ticket.job = job
-    context.detour = context.state.repath(
+    context.detour = context.state.reroute(
         "r", frozenset([name(engine, "kl-hall")]), NOW_S
     )
 
 
 @then("it is to be resumed within another data centre")
 def step_resumed(context: Any) -> None:
-    assert context.detour == jobs.Detour(None, True), context.detour
+    assert context.detour == jobs.RerouteDecision(None, True), context.detour
 
 
 @then("the path of a request is within {place}")
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -188,18 +188,18 @@
     route = attrs.evolve(job.route, is_resumable=False)
     job = attrs.evolve(job, route=route)
     assert host.state.arrive(job, world.now_s)
-    context.detours = []
+    context.decisions = []
     for _ in range(count):
         last = host.state.tickets[name].parts[-1].id
         host.state.fleet.health.note_down(last, world.now_s)
-        context.detours.append(
-            host.state.repath(name, frozenset([last]), world.now_s)
+        context.decisions.append(
+            host.state.reroute(name, frozenset([last]), world.now_s)
         )
 
 
 @then("it is not rerouted after the third")
 def step_not_moved(context: Any) -> None:
-    first, second, third = context.detours
+    first, second, third = context.decisions
     assert first.parts and second.parts
     assert third.parts is None and third.is_ended
 
@@ -212,7 +212,7 @@
         name = world.send(host, "x")
         run = world.runs.pop(name)
         world.waiting[name] = (host, run.job)
-        failure = jobs.Failure(name, jobs.Why.CUT, "reset")
+        failure = jobs.Failure(name, jobs.FailureKind.CUT, "reset")
         world.apply(host, host.state.fail(failure, world.now_s))
         if name in world.runs:
             del world.runs[name]
@@ -252,7 +252,7 @@
     if is_answered:
         host.state.finish(job.id, world.now_s, True)
         return
-    failure = jobs.Failure(job.id, jobs.Why.CUT, "reset")
+    failure = jobs.Failure(job.id, jobs.FailureKind.CUT, "reset")
     host.state.fail(failure, world.now_s)
     host.state.fleet.note_report(start.upstream.id, None, world.now_s)
     host.state.tick(world.now_s)
@@ -337,7 +337,9 @@
     name = world.send(host, crashes.FATAL)
     world.due.clear()
     del world.runs[name]
-    host.state.fail(jobs.Failure(name, jobs.Why.CUT, "reset"), world.now_s)
+    host.state.fail(
+        jobs.Failure(name, jobs.FailureKind.CUT, "reset"), world.now_s
+    )
 
 
 @then("the same request is refused with a Retry-After of {after_s:g} s")
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -140,7 +140,7 @@
         if piece == "silence":
             left_s = max(0.0, self.deadline_s - time.monotonic())
             self.closed.wait(min(left_s, 5.0))
-            return forward.Lost(jobs.Why.CUT, "closed or silent")
+            return forward.Lost(jobs.FailureKind.CUT, "closed or silent")
         assert not isinstance(piece, str)
         return piece
 
@@ -250,7 +250,7 @@
 @given("the {place} attempt is cut after events {numbers}")
 def step_cut(context: Any, place: str, numbers: str) -> None:
     pieces: list[Any] = [make_event(i) for i in parse_numbers(numbers)]
-    pieces.append(forward.Lost(jobs.Why.CUT, "reset"))
+    pieces.append(forward.Lost(jobs.FailureKind.CUT, "reset"))
     context.play.sends.scripts.append(Script(pieces))
 
 
@@ -438,7 +438,7 @@
     whole = b"".join(make_event(n) for n in numbers)
     cut = whole[: rng.randint(0, len(whole))]
     gap = b"".join(make_event(n) for n in numbers if n != after + 2)
-    lost = forward.Lost(jobs.Why.CUT, "reset")
+    lost = forward.Lost(jobs.FailureKind.CUT, "reset")
     drawn: list[Script] = [
         Script([whole], 200, "text/event-stream"),
         Script([cut, lost], 200, "text/event-stream"),
--- a/tests/steps/histories_steps.py
+++ b/tests/steps/histories_steps.py
@@ -80,8 +80,8 @@
     """Fails a random attempt."""
     name = rng.choice(sorted(oracle.at))
     start = oracle.at.pop(name)
-    why = rng.choice(list(jobs.Why))
-    if why in (jobs.Why.CUT, jobs.Why.FAILED):
+    why = rng.choice(list(jobs.FailureKind))
+    if why in (jobs.FailureKind.CUT, jobs.FailureKind.FAILED):
         oracle.runs[name] += 1
     allowed = 1 if oracle.kinds[name] == "non_idempotent" else 2
     assert oracle.runs[name] <= allowed, (name, oracle.runs[name])
--- a/tests/steps/limits_steps.py
+++ b/tests/steps/limits_steps.py
@@ -239,7 +239,11 @@
     context.cut = next(i for i, t in state.tickets.items() if t.upstream_id)
     world.waiting[context.cut] = world.now_s
     failure = jobs.Failure(
-        context.cut, jobs.Why.CUT, "reset", is_begun=True, has_brought=True
+        context.cut,
+        jobs.FailureKind.CUT,
+        "reset",
+        is_begun=True,
+        has_output=True,
     )
     context.effects = state.fail(failure, world.now_s)
 
--- a/tests/steps/suspects_steps.py
+++ b/tests/steps/suspects_steps.py
@@ -72,7 +72,9 @@
 )
 def step_refused(context: Any, host: str, engine: str, what: str) -> None:
     start = send(context, host, engine)
-    failure = jobs.Failure(start.id, jobs.Why.REFUSED, "test", (engine,))
+    failure = jobs.Failure(
+        start.id, jobs.FailureKind.REFUSED, "test", (engine,)
+    )
     context.hosts[host].fail(failure, context.now_s)
     probe(context, host, engine, what == "its")
     # The pause after a refusal is the host's own affair.
