--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -235,7 +235,7 @@
         cfg = self._make_config()
         for place, state in self._brokers.items():
             state.configure(cfg)
-            state.repeats.hosts = 8
+            state.retry_budgets.hosts = 8
             if self._policy.is_even:
                 self._hold_evenly(place)
             else:
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -380,7 +380,7 @@
         self._watch.hear({i for n in heard for i in n.suspects})
         told = tuple(news.read(n) for n in heard)
         seeds = len(self._cfg.seeds)
-        self._desk.tell(desk.Heard(told, max(hosts, seeds)))
+        self._desk.tell(desk.PeerUpdates(told, max(hosts, seeds)))
 
     def reload(self) -> None:
         """Has the settings read again soon; safe in a signal handler."""
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -77,9 +77,9 @@
         peers=peers,
         excess=own.memory.list_excess(now_s),
         suspects=own.list_suspects(now_s, False),
-        spent=state.repeats.list_spent(now_s),
+        spent=state.retry_budgets.list_spent(now_s),
         ended=state.quarantine.list_told(datagrams.MAX_ENDED, now_s),
-        is_new=state.repeats.is_new(now_s),
+        is_new=state.retry_budgets.is_new(now_s),
         limits=state.throttle.list_told(now_s),
     )
 
@@ -92,7 +92,7 @@
         news,
         usage=state.fleet.memory.sum_near(now_s),
         suspects=state.fleet.list_suspects(now_s, True),
-        spent=state.repeats.sum_spent(now_s),
+        spent=state.retry_budgets.sum_spent(now_s),
         limits=state.throttle.list_told(now_s, is_speaker=True),
     )
 
--- a/egretspur/daemons/pages.py
+++ b/egretspur/daemons/pages.py
@@ -172,8 +172,8 @@
                 h.is_down for h in fleet.health.failed.values()
             ),
             "upstreams_limited": len(fleet.throttle.limited),
-            "hosts_sharing": state.repeats.hosts,
-            "list_age_seconds": now_s - state.listed_s,
+            "hosts_sharing": state.retry_budgets.hosts,
+            "list_age_seconds": now_s - state.list_read_s,
         },
         {
             "upstream_in_flight": {i: u.count for i, u in usages.items()},
@@ -188,8 +188,8 @@
     fleet = state.fleet
     return {
         "counts": codec.encode(state.counts),
-        "hosts": state.repeats.hosts,
-        "list_age_s": round(now_s - state.listed_s, 3),
+        "hosts": state.retry_budgets.hosts,
+        "list_age_s": round(now_s - state.list_read_s, 3),
         "waiting": [codec.encode(w) for w in state.queue.waiting.values()],
         "running": {
             t.job.id: [f"{p.id}:{p.first}-{p.last}" for p in t.parts]
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -335,7 +335,7 @@
             whole = Whole(answer.status, answer.headers, body)
             if answer.status == 200 or not self._may_repeat(answer):
                 self._is_answered = answer.status < 500
-                self._desk.tell(desk.Answered(self.job.id))
+                self._desk.tell(desk.AnswerStarted(self.job.id))
                 return whole
             self._failed = whole
             return Lost(jobs.FailureKind.FAILED, f"status {answer.status}")
@@ -346,7 +346,7 @@
             if res is None:
                 break
             self._first += res
-        self._desk.tell(desk.Answered(self.job.id))
+        self._desk.tell(desk.AnswerStarted(self.job.id))
         return answer
 
     def _may_repeat(self, answer: Answer) -> bool:
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -78,7 +78,7 @@
         )
         self.counts = jobs.Counts()
         self.tickets: dict[str, tickets.Ticket] = {}
-        self.repeats = repeats.Repeats(data_centre, budget, rng)
+        self.retry_budgets = repeats.Repeats(data_centre, budget, rng)
         self._rng = rng
         self._services: Mapping[str, config.Service] = {}
         # The queue is not served again before this time unless the fleet's
@@ -86,7 +86,7 @@
         self._served_until_s = -math.inf
         self._served_revision = -1
         # Monotonic time at which the list of upstreams was last read.
-        self.listed_s = 0.0
+        self.list_read_s = 0.0
         # Decisions since the last `take_notes`, to be logged.
         self._notes: list[decisions.Decision] = []
 
@@ -103,7 +103,7 @@
     def arrive(self, job: jobs.Job, now_s: float) -> list[jobs.Effect]:
         """Starts, queues or refuses a request."""
         self.counts.arrived += 1
-        self.repeats.earn(job.service, now_s)
+        self.retry_budgets.earn(job.service, now_s)
         self.fleet.backpressure.note_wanted(job.service, now_s)
         ticket = tickets.Ticket(job)
         self.tickets[job.id] = ticket
@@ -154,7 +154,7 @@
         self.counts.finished += 1
         return self._start_queued(now_s)
 
-    def note_answer(self, job_id: str, now_s: float) -> None:
+    def record_answer_start(self, job_id: str, now_s: float) -> None:
         """Records that the upstreams of a request began to answer."""
         ticket = self.tickets.get(job_id)
         if ticket is None or not ticket.upstream_id:
@@ -262,27 +262,29 @@
 
     def _take_retry(self, ticket: tickets.Ticket, now_s: float) -> bool:
         """Takes a retry from the budget, unless the request holds one."""
-        if ticket.repeat_s is not None:
+        if ticket.retry_taken_s is not None:
             return True
-        if self.repeats.spend(ticket.job.service, now_s):
-            ticket.repeat_s = now_s
+        if self.retry_budgets.spend(ticket.job.service, now_s):
+            ticket.retry_taken_s = now_s
         self._notes.append(self._describe_retry(ticket, now_s))
-        return ticket.repeat_s is not None
+        return ticket.retry_taken_s is not None
 
     def _return_retry(self, ticket: tickets.Ticket) -> None:
         """Returns a retry that was taken and not sent to the budget."""
-        if ticket.repeat_s is not None:
-            self.repeats.give_back(ticket.job.service, ticket.repeat_s)
-            ticket.repeat_s = None
+        if ticket.retry_taken_s is not None:
+            self.retry_budgets.give_back(
+                ticket.job.service, ticket.retry_taken_s
+            )
+            ticket.retry_taken_s = None
 
     def _describe_retry(
         self, ticket: tickets.Ticket, now_s: float
     ) -> decisions.RepeatTaken | decisions.BudgetEmpty:
         service = ticket.job.service
-        standing = self.repeats.get_standing(service, now_s)
+        standing = self.retry_budgets.get_standing(service, now_s)
         make = (
             decisions.BudgetEmpty
-            if ticket.repeat_s is None
+            if ticket.retry_taken_s is None
             else decisions.RepeatTaken
         )
         return make(
@@ -291,7 +293,7 @@
             standing.sent,
             standing.part,
             standing.borrowed,
-            self.repeats.hosts,
+            self.retry_budgets.hosts,
         )
 
     def restore(
@@ -323,18 +325,18 @@
             upstreams.configure(self.fleet.roster, cfg.services, now_s)
         return self.refresh(now_s)
 
-    def replace_list(
+    def replace_upstreams(
         self,
         entries: Mapping[str, upstreams.Upstream | feeds.Unreadable],
         now_s: float,
     ) -> list[jobs.Effect]:
         """Replaces the list of upstreams; entries are keyed by name."""
-        self.listed_s = now_s
+        self.list_read_s = now_s
         with self.fleet.noting_changes(now_s):
             upstreams.replace(self.fleet.roster, entries, now_s)
         return self.refresh(now_s)
 
-    def change_list(
+    def change_upstreams(
         self,
         entries: Sequence[
             tuple[str, upstreams.Upstream | feeds.Unreadable | None]
@@ -342,25 +344,25 @@
         now_s: float,
     ) -> list[jobs.Effect]:
         """Applies changes of the list of upstreams; None removes one."""
-        self.listed_s = now_s
+        self.list_read_s = now_s
         with self.fleet.noting_changes(now_s):
             for name, entry in entries:
                 upstreams.change(self.fleet.roster, name, entry, now_s)
         return self.refresh(now_s)
 
-    def hear(self, news: fleets.PeerNews, now_s: float) -> None:
+    def apply_peer_update(self, update: fleets.PeerNews, now_s: float) -> None:
         """Applies a peer update."""
-        self.fleet.hear(news, now_s)
-        self.quarantine.hear(news.ended, now_s)
+        self.fleet.hear(update, now_s)
+        self.quarantine.hear(update.ended, now_s)
         self._crashes.settle(now_s)
-        self.repeats.hear(
-            news.host, news.data_centre, news.spent, now_s, news.is_new
+        self.retry_budgets.hear(
+            update.host, update.data_centre, update.spent, now_s, update.is_new
         )
 
-    def note_hosts(self, hosts: int) -> None:
+    def set_host_count(self, hosts: int) -> None:
         """Sets how many hosts, with this one, share budgets and limits."""
-        self.repeats.hosts = max(1, hosts)
-        self.throttle.demand.hosts = self.repeats.hosts
+        self.retry_budgets.hosts = max(1, hosts)
+        self.throttle.demand.hosts = self.retry_budgets.hosts
 
     def refresh(self, now_s: float) -> list[jobs.Effect]:
         """Starts queued requests after the upstreams changed."""
@@ -613,8 +615,8 @@
         ticket.upstream_id = entry.id
         ticket.started_s = now_s
         ticket.attempts += 1
-        if ticket.repeat_s is not None:
-            ticket.repeat_s = None
+        if ticket.retry_taken_s is not None:
+            ticket.retry_taken_s = None
             self.counts.repeats += 1
         self._notes.append(self._describe_start(ticket, entry, now_s))
         self._add_memory_use(ticket, 1)
@@ -644,7 +646,7 @@
             paths.describe(ticket.parts),
             step_s,
             free,
-            now_s - self.listed_s,
+            now_s - self.list_read_s,
             peers,
         )
 
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class Answered:
+class AnswerStarted:
     """An upstream began to answer."""
 
     id: str
@@ -113,10 +113,10 @@
 
 
 @attrs.frozen
-class Heard:
+class PeerUpdates:
     """Peer updates, oldest first."""
 
-    news: tuple[fleet.PeerNews, ...]
+    updates: tuple[fleet.PeerNews, ...]
     # Number of hosts known to share the retry budget, this one included.
     hosts: int
 
@@ -232,8 +232,8 @@
         )
 
     @handle.register
-    def _(self, message: Answered) -> None:
-        self._broker.note_answer(message.id, time.monotonic())
+    def _(self, message: AnswerStarted) -> None:
+        self._broker.record_answer_start(message.id, time.monotonic())
 
     @handle.register
     def _(self, message: NoteSignals) -> None:
@@ -265,12 +265,16 @@
     @handle.register
     def _(self, message: ReplaceUpstreams) -> None:
         now_s = time.monotonic()
-        self._questions.run(self._broker.replace_list(message.entries, now_s))
+        self._questions.run(
+            self._broker.replace_upstreams(message.entries, now_s)
+        )
 
     @handle.register
     def _(self, message: ChangeUpstreams) -> None:
         now_s = time.monotonic()
-        self._questions.run(self._broker.change_list(message.entries, now_s))
+        self._questions.run(
+            self._broker.change_upstreams(message.entries, now_s)
+        )
 
     @handle.register
     def _(self, message: StoreAnswered) -> None:
@@ -279,11 +283,11 @@
             upstreams.note_return(self._broker.fleet.roster, now_s)
 
     @handle.register
-    def _(self, message: Heard) -> None:
-        self._broker.note_hosts(message.hosts)
+    def _(self, message: PeerUpdates) -> None:
+        self._broker.set_host_count(message.hosts)
         now_s = time.monotonic()
-        for news in message.news:
-            self._broker.hear(news, now_s)
+        for update in message.updates:
+            self._broker.apply_peer_update(update, now_s)
 
     @handle.register
     def _(self, message: AskTurn) -> bool:
--- a/egretspur/routing/tickets.py
+++ b/egretspur/routing/tickets.py
@@ -32,7 +32,7 @@
     refused: dict[str, float] = attrs.Factory(dict)
     # When a retry was taken from the budget for its next attempt; None if it
     # holds none.
-    repeat_s: float | None = None
+    retry_taken_s: float | None = None
 
     def list_refused(self, now_s: float) -> set[str]:
         """Returns the upstreams that it may not be sent to again yet."""
--- a/tests/listing.py
+++ b/tests/listing.py
@@ -109,14 +109,14 @@
             self.read_whole(now_s)
             return
         assert isinstance(res, feeds.Changes), res
-        self.broker.change_list(res.values, now_s)
+        self.broker.change_upstreams(res.values, now_s)
         self.position = res.next
 
     def read_whole(self, now_s: float) -> None:
         """Reads the whole list anew."""
         res = self.topic.read_newest()
         assert isinstance(res, feeds.Whole), res
-        self.broker.replace_list(res.values, now_s)
+        self.broker.replace_upstreams(res.values, now_s)
         self.position = res.next
 
     def take_from(self, other: Host, now_s: float) -> None:
@@ -128,9 +128,9 @@
         res = self.topic.read_snapshot(data)
         assert not isinstance(res, feeds.Unavailable), res
         if isinstance(res, feeds.Whole):
-            self.broker.replace_list(res.values, now_s)
+            self.broker.replace_upstreams(res.values, now_s)
         else:
-            self.broker.change_list(res.values, now_s)
+            self.broker.change_upstreams(res.values, now_s)
         self.position = res.next
 
     def list_usable(self, now_s: float) -> set[str]:
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -137,7 +137,7 @@
         entry = fleets.make_upstream(name, layers, place)
         self.live[entry.id] = entry
         for host in self.hosts:
-            host.state.change_list([(entry.name, entry)], self.now_s)
+            host.state.change_upstreams([(entry.name, entry)], self.now_s)
 
     def crash_engine(self, upstream_id: str) -> None:
         """Crashes an engine; all attempts on it are cut."""
@@ -158,7 +158,7 @@
 
     def _unlist(self, entry: upstreams.Upstream) -> None:
         for host in self.hosts:
-            host.state.change_list([(entry.name, None)], self.now_s)
+            host.state.change_upstreams([(entry.name, None)], self.now_s)
 
     def schedule(self, seconds: float, work: Callable[[], None]) -> None:
         """Schedules a call."""
@@ -246,7 +246,7 @@
             age_s = self.now_s - run.began_s
             if age_s >= RUN_S and not run.is_begun:
                 run.is_begun = True
-                run.host.state.note_answer(name, self.now_s)
+                run.host.state.record_answer_start(name, self.now_s)
             if age_s >= ANSWER_S:
                 del self.runs[name]
                 self.answered.add(name)
--- a/tests/routing/limits.py
+++ b/tests/routing/limits.py
@@ -138,7 +138,7 @@
         self.entries[entry.name] = entry
         self.arrivals.setdefault(entry.id, [])
         for host in self.hosts:
-            host.state.change_list([(entry.name, entry)], self.now_s)
+            host.state.change_upstreams([(entry.name, entry)], self.now_s)
 
     def set_limit(self, upstream_id: str, per_s: float | None) -> None:
         """Sets the limit of an upstream; None lifts it."""
@@ -202,7 +202,7 @@
             self._apply(
                 host, state.note_signals(upstream_id, answer, self.now_s)
             )
-            state.note_answer(start.id, self.now_s)
+            state.record_answer_start(start.id, self.now_s)
 
         def end() -> None:
             if host.state is not state:
@@ -275,7 +275,7 @@
     def _send_update(self, host: Host) -> None:
         heard = peers.tell(host, self.hosts, self._is_delivered, self.now_s)
         for other in heard:
-            other.state.note_hosts(len(self.hosts))
+            other.state.set_host_count(len(self.hosts))
 
     def _is_delivered(self, host: peers.Host, other: peers.Host) -> bool:
         """Returns whether a datagram between two hosts arrives."""
--- a/tests/routing/peers.py
+++ b/tests/routing/peers.py
@@ -57,7 +57,7 @@
             continue
         found = other.decoder.decode(near_data if is_near else wide_data)
         assert not isinstance(found, datagrams.NotNews), found
-        other.state.hear(news.read(found), now_s)
+        other.state.apply_peer_update(news.read(found), now_s)
         heard.append(other)
     return heard
 
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -394,7 +394,9 @@
 
 def count_repeats(context: Any) -> int:
     """Returns the repeats of the budget that are taken."""
-    return int(context.broker.repeats.get_standing("llm", context.now_s).sent)
+    return int(
+        context.broker.retry_budgets.get_standing("llm", context.now_s).sent
+    )
 
 
 @then("it runs at the twin of that engine, with {count:d} retry sent")
@@ -431,11 +433,13 @@
 
 @then("it is resumed with one retry spent")
 def step_one_repeat(context: Any) -> None:
-    spent = context.broker.repeats.list_spent(context.now_s)["llm"]
+    spent = context.broker.retry_budgets.list_spent(context.now_s)["llm"]
     failure = jobs.Failure("r", jobs.FailureKind.CUT, "interrupted", (), True)
     effects = context.broker.fail(failure, context.now_s)
     assert isinstance(effects[0], jobs.Start), effects
-    assert context.broker.repeats.list_spent(context.now_s)["llm"] == spent
+    assert (
+        context.broker.retry_budgets.list_spent(context.now_s)["llm"] == spent
+    )
     assert context.broker.counts.repeats == 1
 
 
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -143,7 +143,7 @@
     news = fleet.PeerNews(
         "10.9.0.1", "kl-hall", {}, {}, (), {}, ended={crashes.FATAL: ends}
     )
-    state.hear(news, now_s)
+    state.apply_peer_update(news, now_s)
 
 
 @given("a request that crashed two engines is queued at each host")
@@ -231,7 +231,7 @@
     (host,) = world.hosts
     for number in range(1, 5):
         entry = fleets.make_upstream(f"app-{number}")
-        host.state.change_list([(entry.name, entry)], world.now_s)
+        host.state.change_upstreams([(entry.name, entry)], world.now_s)
     look_up(context, is_answered=True)
     world.now_s += ago_s
 
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -22,7 +22,7 @@
     made = broker.Broker(
         "kl-hall", repeats.Options(0.2, 10.0, 10.0), random.Random(1)
     )
-    made.replace_list({entry.id: entry}, 0.0)
+    made.replace_upstreams({entry.id: entry}, 0.0)
     return made
 
 
@@ -41,13 +41,13 @@
 @when('its list read whole shows that it holds "{layers}"')
 def step_whole(context: Any, layers: str) -> None:
     entry = fleets.make_upstream(context.name, layers)
-    context.host.replace_list({entry.id: entry}, context.now_s)
+    context.host.replace_upstreams({entry.id: entry}, context.now_s)
 
 
 @when('a change of its list shows that it holds "{layers}"')
 def step_change(context: Any, layers: str) -> None:
     entry = fleets.make_upstream(context.name, layers)
-    context.host.change_list([(entry.id, entry)], context.now_s)
+    context.host.change_upstreams([(entry.id, entry)], context.now_s)
 
 
 @when('the engine reports that it holds "{layers}"')
@@ -60,7 +60,7 @@
 @when("it tells the other host")
 def step_tells(context: Any) -> None:
     told = context.host.fleet.moves.list_told(2.0, context.now_s)
-    context.other.hear(make_news(told), context.now_s)
+    context.other.apply_peer_update(make_news(told), context.now_s)
 
 
 @then('within 2 s it tells the others "{told}"')
@@ -92,7 +92,7 @@
     listed = context.host.fleet.compute_digest()
     assert context.other.fleet.compute_digest() != listed
     entry = context.host.fleet.roster.entries[context.name]
-    context.other.change_list([(context.name, entry)], context.now_s)
+    context.other.change_upstreams([(context.name, entry)], context.now_s)
     assert context.other.fleet.compute_digest() == listed
 
 
@@ -111,8 +111,12 @@
         host: host.fleet.moves.list_told(news.LAYERS_TOLD_S, context.now_s)
         for host in (context.host, context.other)
     }
-    context.other.hear(make_news(told[context.host]), context.now_s)
-    context.host.hear(make_news(told[context.other]), context.now_s)
+    context.other.apply_peer_update(
+        make_news(told[context.host]), context.now_s
+    )
+    context.host.apply_peer_update(
+        make_news(told[context.other]), context.now_s
+    )
 
 
 @then('both have "{layers}" and only the other host tells it')
@@ -166,7 +170,7 @@
 def step_reads_list(context: Any, count: int) -> None:
     names = [f"l4-{i}" for i in range(count)]
     entries = {n: fleets.make_upstream(n, "0-10") for n in names}
-    context.host.replace_list(entries, 1.0)
+    context.host.replace_upstreams(entries, 1.0)
 
 
 @then('it logs {count:d} lines "{event}"')
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -106,7 +106,7 @@
 @given("a host's desk whose broker fails on the next answer")
 def step_answer_fails(context: Any) -> None:
     record_steps(context)
-    make_desk(context).note_answer = FailOnce()
+    make_desk(context).record_answer_start = FailOnce()
 
 
 @given("a host's desk whose broker fails on the next arrival")
@@ -145,7 +145,7 @@
 
 @when("an answer comes, and then a request")
 def step_answer(context: Any) -> None:
-    context.desk.tell(desk.Answered("x"))
+    context.desk.tell(desk.AnswerStarted("x"))
     context.decision = ask(context, "x")
 
 
--- a/tests/steps/search_steps.py
+++ b/tests/steps/search_steps.py
@@ -73,7 +73,7 @@
     news = fleet.PeerNews("10.0.0.2", "kl-hall", {}, {}, (), {})
     for i in range(seconds * 100):
         now_s = NOW_S + 0.1 + 0.01 * i
-        state.hear(news, now_s)
+        state.apply_peer_update(news, now_s)
         state.fleet.note_report("a100-0", upstreams.PLAIN_REPORT, now_s)
         state.refresh(now_s)
 
@@ -108,7 +108,7 @@
     job = fleets.make_job("held", now_s=NOW_S)
     state.arrive(attrs.evolve(job, fingerprint="f"), NOW_S)
     assert list(state.queue.waiting) == ["held"]
-    state.hear(
+    state.apply_peer_update(
         fleet.PeerNews("10.0.0.2", "kl-hall", {}, {}, (), {}, ended=ended),
         NOW_S,
     )
