--- a/egretspur/catalog/quarantined.py
+++ b/egretspur/catalog/quarantined.py
@@ -99,7 +99,7 @@
             if not isinstance(ends, feeds.Unreadable)
         }
         if kept:
-            self._desk.tell(desk.Restore(kept))
+            self._desk.tell(desk.RestoreQuarantine(kept))
 
     def note_contact(self, is_back: bool) -> None:
         """Nothing depends on when they were last asked for."""
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -288,7 +288,7 @@
 
     def learn(self, upstream_id: str, layers: upstreams.Layers) -> None:
         """Takes what an engine reports to hold after an order."""
-        self._desk.tell(desk.Learn(upstream_id, layers))
+        self._desk.tell(desk.LayersReported(upstream_id, layers))
 
     def look(self) -> ranges.Scene:
         """Returns what the keeper of layers looks at."""
@@ -316,7 +316,7 @@
                 self._find_late(view, now_s),
             )
 
-        scene: ranges.Scene = self._desk.look(read)
+        scene: ranges.Scene = self._desk.query(read)
         return scene
 
     def _find_late(self, view: fleet.Fleet, now_s: float) -> frozenset[str]:
@@ -355,7 +355,7 @@
             self._exchange.is_store_away(age_s),
             self._followed.get_era(),
         )
-        made: datagrams.News = self._desk.look(
+        made: datagrams.News = self._desk.query(
             lambda state: news.collect(state, self._cfg.ip, view, peers, now_s)
         )
         self._known = made.known
@@ -363,7 +363,7 @@
 
     def _widen_news(self, own: datagrams.News) -> datagrams.News:
         """Returns what this host tells other data centres for its own."""
-        widened: datagrams.News = self._desk.look(
+        widened: datagrams.News = self._desk.query(
             lambda state: news.widen(state, own, time.monotonic())
         )
         return widened
--- a/egretspur/daemons/pages.py
+++ b/egretspur/daemons/pages.py
@@ -116,7 +116,7 @@
             "store_era": get_era(),
             "log_lines_dropped": handler.dropped if handler else 0,
         }
-        gauges[0].set(to.look(read_figures), own)
+        gauges[0].set(to.query(read_figures), own)
         return registry
 
     def get_snapshot(req: web.Request) -> web.Response:
@@ -127,7 +127,7 @@
         )
 
     app = web.App()
-    web.add_diagnostics(app, collect, lambda: to.look(dump_state), is_ready)
+    web.add_diagnostics(app, collect, lambda: to.query(dump_state), is_ready)
     app.add("GET", "/v1/snapshot/{topic}", get_snapshot)
     return app
 
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -408,7 +408,7 @@
             self.usual_gap_s = silence.smooth_gap(self.usual_gap_s, gap_s)
             if gap_s > (self.job.route.gap_s or paces.SUSPICIOUS_GAP_S):
                 ids = tuple(p.id for p in self.parts)
-                self._desk.tell(desk.Suspect(ids))
+                self._desk.tell(desk.AnswerPaused(ids))
         self._last_s = now_s
 
     def _pump(self, write: Write) -> Lost | None:
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -159,7 +159,7 @@
         for first, silent in by_first.items():
             if now_s - self._asked.get(first.id, -ASK_S) < ASK_S:
                 continue
-            if not self._desk.may_ask(first.id):
+            if not self._desk.may_query(first.id):
                 continue
             self._asked[first.id] = now_s
             self._handle(first, silent)
@@ -195,7 +195,7 @@
         if witness is not None:
             addresses[witness.id] = witness.address
         addresses = {
-            i: a for i, a in addresses.items() if self._desk.may_ask(i)
+            i: a for i, a in addresses.items() if self._desk.may_query(i)
         }
         self._peeked = {
             i: t for i, t in self._peeked.items() if now_s - t < ASK_S
@@ -248,7 +248,7 @@
     ) -> None:
         """Moves all streams off dead stages, the least late ones first."""
         for upstream_id in dead:
-            self._desk.tell(desk.NoteFailed(upstream_id))
+            self._desk.tell(desk.UpstreamFailed(upstream_id))
         over = [s for s in streams if dead & {p.id for p in s.parts}]
 
         def leave(stream: forward.Forward) -> None:
@@ -267,7 +267,7 @@
     ) -> None:
         report = self._engines.get_report(first.address)
         if isinstance(report, str):
-            self._desk.tell(desk.NoteFailed(first.id))
+            self._desk.tell(desk.UpstreamFailed(first.id))
             for stream in streams:
                 stream.stalled.add(first.id)
                 self._end_attempt(stream)
@@ -277,7 +277,7 @@
                 p.id for p in stream.parts if p.address in report.stalled
             )
             for upstream_id in stalled:
-                self._desk.tell(desk.NoteFailed(upstream_id))
+                self._desk.tell(desk.UpstreamFailed(upstream_id))
             stream.stalled |= stalled
             if stalled and self._move(stream, stalled):
                 continue
--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -163,8 +163,8 @@
         super().__init__()
         self._dispatcher = dispatcher
         self._marked = marked
-        self._questions: questions.Questions[requests.Grant] = (
-            questions.Questions()
+        self._questions: questions.PendingDecisions[requests.Grant] = (
+            questions.PendingDecisions()
         )
 
     @functools.singledispatchmethod
@@ -174,22 +174,22 @@
 
     @handle.register
     def _(self, message: Arrive) -> None:
-        self._questions.ask(message.arrival.id, message.fut)
+        self._questions.add(message.arrival.id, message.fut)
         now = time.monotonic()
-        self._questions.run(self._dispatcher.arrive(message.arrival, now))
+        self._questions.resolve(self._dispatcher.arrive(message.arrival, now))
 
     @handle.register
     def _(self, message: Fail) -> None:
-        self._questions.ask(message.failure.id, message.fut)
+        self._questions.add(message.failure.id, message.fut)
         now = time.monotonic()
-        self._questions.run(self._dispatcher.fail(message.failure, now))
+        self._questions.resolve(self._dispatcher.fail(message.failure, now))
         if message.failure.leaving:
             self._marked()
 
     @handle.register
     def _(self, message: Finish) -> None:
         self._questions.forget(message.id)
-        self._questions.run(
+        self._questions.resolve(
             self._dispatcher.finish(
                 message.id, time.monotonic(), message.is_answered
             )
@@ -201,11 +201,13 @@
 
     @handle.register
     def _(self, message: tables.RoutingUpdate) -> None:
-        self._questions.run(self._dispatcher.update(message, time.monotonic()))
+        self._questions.resolve(
+            self._dispatcher.update(message, time.monotonic())
+        )
 
     @handle.register
     def _(self, message: Tick) -> None:
-        self._questions.run(self._dispatcher.tick(time.monotonic()))
+        self._questions.resolve(self._dispatcher.tick(time.monotonic()))
 
     @handle.register
     def _(self, message: GetService) -> list[tables.Upstream]:
@@ -235,7 +237,7 @@
         is_new, effects = self._dispatcher.note_signals(
             message.upstream, message.answer, time.monotonic()
         )
-        self._questions.run(effects)
+        self._questions.resolve(effects)
         if is_new:
             self._marked()
 
@@ -290,7 +292,7 @@
 
     def note_failed(self, message: Any) -> None:
         """Answers the request that could not be decided on."""
-        questions.answer_failed(message)
+        questions.refuse_failed(message)
 
 
 class Traffic:
--- a/egretspur/routing/availability.py
+++ b/egretspur/routing/availability.py
@@ -32,7 +32,7 @@
         """
         self.throttle = throttle.Throttle(data_centre, rng)
         self._network = network
-        self._returns = returns.Returns()
+        self._returns = returns.RetrySchedule()
 
     def note_signals(
         self, name: str, answer: signals.Signals, now_s: float
@@ -130,7 +130,7 @@
         self, key: str, opening: throttle.Opening, waiting: int, now_s: float
     ) -> float:
         """Returns when one more caller may come back; see `returns.Returns`."""
-        return self._returns.promise(key, opening, waiting, now_s)
+        return self._returns.assign_delay_s(key, opening, waiting, now_s)
 
     def _note_unreadable(self, name: str, value: signals.Unreadable) -> None:
         if self.throttle.note_unreadable(self._network.name_start(name)):
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -72,7 +72,7 @@
         self.search = search.Search(self.fleet, using, rng)
         self.queue = queues.Queue(MAX_QUEUED)
         self.quarantine = quarantines.Quarantine()
-        self._crashes = crashes.Crashes(self.quarantine, self.fleet)
+        self._crashes = crashes.CrashDetector(self.quarantine, self.fleet)
         self._refusals = refusals.Refusals(
             rng, self.quarantine, self.fleet.backpressure
         )
@@ -296,7 +296,7 @@
             self.retry_budgets.hosts,
         )
 
-    def restore(
+    def restore_quarantine(
         self, ends: Mapping[str, quarantines.Ends], now_s: float
     ) -> list[jobs.Effect]:
         """Applies the quarantine as the store has it."""
@@ -501,7 +501,9 @@
     ) -> questions.Refuse:
         """Refuses a request that rate limits would delay for too long."""
         waiting = self._count_waiting(ticket.job)
-        refusal = self._refusals.make_limited(ticket, opening, waiting, now_s)
+        refusal = self._refusals.make_rate_limited(
+            ticket, opening, waiting, now_s
+        )
         return self._end(ticket, now_s, refusal)
 
     def _refuse_expired(
--- a/egretspur/routing/crashes.py
+++ b/egretspur/routing/crashes.py
@@ -13,7 +13,7 @@
 from egretspur.routing import fleet as fleets
 
 
-class Crashes:
+class CrashDetector:
     """See the module's docstring."""
 
     def __init__(
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -122,21 +122,21 @@
 
 
 @attrs.frozen
-class AskTurn:
+class MayQuery:
     """Asks whether an upstream may be queried now, given limit and backoff."""
 
     upstream_id: str
 
 
 @attrs.frozen
-class NoteFailed:
+class UpstreamFailed:
     """An upstream failed outside of any request."""
 
     upstream_id: str
 
 
 @attrs.frozen
-class Learn:
+class LayersReported:
     """An engine's report of the layers that it holds."""
 
     upstream_id: str
@@ -144,14 +144,14 @@
 
 
 @attrs.frozen
-class Restore:
+class RestoreQuarantine:
     """The store's quarantine; a released request has no crashes."""
 
     ends: Mapping[str, quarantine.Ends]
 
 
 @attrs.frozen
-class TakeDue:
+class Tick:
     """Runs the broker's timers; asks for the work due outside the actor."""
 
 
@@ -177,14 +177,14 @@
 
 
 @attrs.frozen
-class Suspect:
+class AnswerPaused:
     """An answer paused on a path over these engines."""
 
     upstream_ids: tuple[str, ...]
 
 
 @attrs.frozen
-class Look:
+class Query:
     """Calls a function with the broker and returns its result."""
 
     read: Callable[[broker.Broker], Any]
@@ -198,12 +198,14 @@
 
         Args:
             state: Owned by the actor from now on.
-            busy: Set while `TakeDue` is to be sent at short intervals.
+            busy: Set while `Tick` is to be sent at short intervals.
         """
         super().__init__()
         self._broker = state
         self._busy = busy
-        self._questions: questions.Questions[jobs.Start] = questions.Questions()
+        self._pending: questions.PendingDecisions[jobs.Start] = (
+            questions.PendingDecisions()
+        )
 
     @functools.singledispatchmethod
     def handle(self, message: object) -> Any:
@@ -212,20 +214,22 @@
 
     @handle.register
     def _(self, message: Arrive) -> None:
-        self._questions.ask(message.job.id, message.fut)
-        self._questions.run(self._broker.arrive(message.job, time.monotonic()))
+        self._pending.add(message.job.id, message.fut)
+        self._pending.resolve(
+            self._broker.arrive(message.job, time.monotonic())
+        )
 
     @handle.register
     def _(self, message: Fail) -> None:
-        self._questions.ask(message.failure.id, message.fut)
-        self._questions.run(
+        self._pending.add(message.failure.id, message.fut)
+        self._pending.resolve(
             self._broker.fail(message.failure, time.monotonic())
         )
 
     @handle.register
     def _(self, message: Finish) -> None:
-        self._questions.forget(message.id)
-        self._questions.run(
+        self._pending.forget(message.id)
+        self._pending.resolve(
             self._broker.finish(
                 message.id, time.monotonic(), message.is_answered
             )
@@ -237,7 +241,7 @@
 
     @handle.register
     def _(self, message: NoteSignals) -> None:
-        self._questions.run(
+        self._pending.resolve(
             self._broker.note_signals(
                 message.upstream_id, message.answer, time.monotonic()
             )
@@ -258,21 +262,21 @@
 
     @handle.register
     def _(self, message: Configure) -> None:
-        self._questions.run(
+        self._pending.resolve(
             self._broker.configure(message.cfg, time.monotonic())
         )
 
     @handle.register
     def _(self, message: ReplaceUpstreams) -> None:
         now_s = time.monotonic()
-        self._questions.run(
+        self._pending.resolve(
             self._broker.replace_upstreams(message.entries, now_s)
         )
 
     @handle.register
     def _(self, message: ChangeUpstreams) -> None:
         now_s = time.monotonic()
-        self._questions.run(
+        self._pending.resolve(
             self._broker.change_upstreams(message.entries, now_s)
         )
 
@@ -290,35 +294,35 @@
             self._broker.apply_peer_update(update, now_s)
 
     @handle.register
-    def _(self, message: AskTurn) -> bool:
+    def _(self, message: MayQuery) -> bool:
         return self._broker.fleet.backpressure.may_ask(
             message.upstream_id, time.monotonic()
         )
 
     @handle.register
-    def _(self, message: NoteFailed) -> None:
+    def _(self, message: UpstreamFailed) -> None:
         self._broker.fleet.health.note_down(
             message.upstream_id, time.monotonic()
         )
 
     @handle.register
-    def _(self, message: Learn) -> None:
+    def _(self, message: LayersReported) -> None:
         now_s = time.monotonic()
         self._broker.fleet.moves.note_reported(
             message.upstream_id, message.layers, now_s
         )
-        self._questions.run(self._broker.refresh(now_s))
+        self._pending.resolve(self._broker.refresh(now_s))
 
     @handle.register
-    def _(self, message: Restore) -> None:
-        self._questions.run(
-            self._broker.restore(message.ends, time.monotonic())
+    def _(self, message: RestoreQuarantine) -> None:
+        self._pending.resolve(
+            self._broker.restore_quarantine(message.ends, time.monotonic())
         )
 
     @handle.register
-    def _(self, message: TakeDue) -> Due:
+    def _(self, message: Tick) -> Due:
         now_s = time.monotonic()
-        self._questions.run(self._broker.tick(now_s))
+        self._pending.resolve(self._broker.tick(now_s))
         state = self._broker.fleet
         return Due(
             tuple(state.take_probes(now_s)),
@@ -332,14 +336,14 @@
         self._broker.fleet.note_report(
             message.upstream_id, message.report, now_s
         )
-        self._questions.run(self._broker.refresh(now_s))
+        self._pending.resolve(self._broker.refresh(now_s))
 
     @handle.register
-    def _(self, message: Suspect) -> None:
+    def _(self, message: AnswerPaused) -> None:
         self._broker.fleet.paces.suspect(message.upstream_ids)
 
     @handle.register
-    def _(self, message: Look) -> Any:
+    def _(self, message: Query) -> Any:
         return message.read(self._broker)
 
     def on_receive(self, message: Any) -> Any:
@@ -356,7 +360,7 @@
 
     def note_failed(self, message: Any) -> None:
         """Refuses the request whose message raised an error."""
-        questions.answer_failed(message)
+        questions.refuse_failed(message)
 
 
 class Desk:
@@ -413,22 +417,22 @@
         is_reserved: bool = actors.ask(self._ref, ReserveRetry(job_id))
         return is_reserved
 
-    def may_ask(self, upstream_id: str) -> bool:
+    def may_query(self, upstream_id: str) -> bool:
         """Returns whether an upstream may be queried; counts the query."""
         if self._backpressure.is_free(upstream_id):
             return True
-        may_ask: bool = actors.ask(self._ref, AskTurn(upstream_id))
-        return may_ask
+        may_query: bool = actors.ask(self._ref, MayQuery(upstream_id))
+        return may_query
 
-    def take_due(self) -> Due:
+    def tick(self) -> Due:
         """Runs the broker's timers; returns work due outside the actor."""
-        due: Due = actors.ask(self._ref, TakeDue())
+        due: Due = actors.ask(self._ref, Tick())
         return due
 
     def wait_busy(self, wait_s: float) -> None:
         """Waits until the broker is busy, for at most `wait_s`."""
         self._busy.wait(wait_s)
 
-    def look(self, read: Callable[[broker.Broker], Any]) -> Any:
+    def query(self, read: Callable[[broker.Broker], Any]) -> Any:
         """Returns the result of a function called with the broker."""
-        return actors.ask(self._ref, Look(read))
+        return actors.ask(self._ref, Query(read))
--- a/egretspur/routing/probes.py
+++ b/egretspur/routing/probes.py
@@ -26,7 +26,7 @@
 
 # Maximum concurrent probes. An unreachable upstream occupies a thread until the
 # probe times out, and half of a data centre may be unreachable.
-THREADS: Final = 4
+MAX_PROBES: Final = 4
 
 # Probes an upstream; returns its report, or None if it did not answer.
 Probe = Callable[[upstreams.Upstream], upstreams.EngineReport | None]
@@ -56,7 +56,7 @@
         self._send_update = send_update
         self._save = save
         self._pool = concurrent.futures.ThreadPoolExecutor(
-            THREADS, thread_name_prefix="probe"
+            MAX_PROBES, thread_name_prefix="probe"
         )
         self._stop = threading.Event()
         self._thread = threading.Thread(
@@ -76,7 +76,7 @@
         while not self._stop.wait(BUSY_TICK_S):
             self._desk.wait_busy(IDLE_TICK_S - BUSY_TICK_S)
             with guard.surviving("tick"):
-                due = self._desk.take_due()
+                due = self._desk.tick()
                 for entry in due.probes:
                     self._pool.submit(self._probe_upstream, entry)
                 if due.has_suspects or due.unsaved:
--- a/egretspur/routing/questions.py
+++ b/egretspur/routing/questions.py
@@ -31,7 +31,7 @@
 D = TypeVar("D")
 
 
-class Questions(Generic[S]):
+class PendingDecisions(Generic[S]):
     """Unresolved futures, one for each request; owned by an actor."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
             str, concurrent.futures.Future[S | errors.Refusal]
         ] = {}
 
-    def ask(
+    def add(
         self,
         request_id: str,
         fut: concurrent.futures.Future[S | errors.Refusal],
@@ -51,7 +51,7 @@
         """Drops the future of a finished request."""
         self._futures.pop(request_id, None)
 
-    def run(self, effects: Iterable[S | Refuse]) -> None:
+    def resolve(self, effects: Iterable[S | Refuse]) -> None:
         """Resolves the futures of the requests that were decided."""
         for effect in effects:
             if isinstance(effect, Refuse):
@@ -63,10 +63,10 @@
         """Resolves a request's future, unless it was dropped."""
         fut = self._futures.pop(request_id, None)
         if fut is not None:
-            answer(fut, decision)
+            resolve_future(fut, decision)
 
 
-def answer(fut: concurrent.futures.Future[D], decision: D) -> None:
+def resolve_future(fut: concurrent.futures.Future[D], decision: D) -> None:
     """Resolves a future, unless its thread cancelled it."""
     if fut.done():
         return
@@ -77,7 +77,7 @@
         return
 
 
-def answer_failed(message: object) -> None:
+def refuse_failed(message: object) -> None:
     """Refuses the request of a message that raised an error in the actor.
 
     Otherwise, its thread waits for the decision, and its caller for an answer,
@@ -88,7 +88,7 @@
     """
     fut = getattr(message, "fut", None)
     if isinstance(fut, concurrent.futures.Future):
-        answer(
+        resolve_future(
             fut,
             errors.Refusal(
                 errors.ErrorKind.INTERNAL, "the scheduling actor failed"
--- a/egretspur/routing/refusals.py
+++ b/egretspur/routing/refusals.py
@@ -23,20 +23,20 @@
     def __init__(
         self,
         rng: random.Random,
-        held: quarantine.Quarantine,
+        quarantined: quarantine.Quarantine,
         state: backpressure.Backpressure,
     ) -> None:
         """Creates the builder of refusals.
 
         Args:
             rng: Draws Retry-After times.
-            held: Quarantined requests.
+            quarantined: Quarantined requests.
             state: Limits and backoffs of upstreams.
         """
         self._rng = rng
-        self._held = held
+        self._quarantine = quarantined
         self._backpressure = state
-        self._returns = returns.Returns()
+        self._retry_schedule = returns.RetrySchedule()
 
     def make(
         self,
@@ -49,7 +49,7 @@
         kind = _withhold_not_run(ticket, kind)
         after_s = 0.0
         if kind is errors.ErrorKind.QUARANTINED:
-            after_s = self._held.get_retry_after_s(ticket.job.fingerprint)
+            after_s = self._quarantine.get_retry_after_s(ticket.job.fingerprint)
         elif errors.ANSWERS[kind].not_run:
             backoff_s = self._backpressure.find_backoff_s(
                 ticket.job.service, now_s
@@ -57,7 +57,7 @@
             after_s = backoff_s or self._rng.uniform(*RETRY_AFTER_S)
         return errors.Refusal(kind, reason, after_s)
 
-    def make_limited(
+    def make_rate_limited(
         self,
         ticket: tickets.Ticket,
         opening: throttle.Opening,
@@ -73,7 +73,7 @@
             now_s: Monotonic time.
         """
         kind = _withhold_not_run(ticket, errors.ErrorKind.UPSTREAM_LIMITED)
-        after_s = self._returns.promise(
+        after_s = self._retry_schedule.assign_delay_s(
             ticket.job.service, opening, waiting, now_s
         )
         return errors.Refusal(kind, opening.describe(waiting), after_s)
--- a/egretspur/routing/returns.py
+++ b/egretspur/routing/returns.py
@@ -17,7 +17,7 @@
 MAX_RETRY_AFTER_S: Final = 10.0
 
 
-class Returns:
+class RetrySchedule:
     """Schedules the retries of refused callers of one host."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         # Next unassigned retry time by service; monotonic.
         self._next_retry_s: dict[str, float] = {}
 
-    def promise(
+    def assign_delay_s(
         self,
         service: str,
         opening: throttle.Opening,
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -111,7 +111,7 @@
 
     def read_store(self, host: peers.Host) -> None:
         """Has a host read the quarantine from the store."""
-        self.apply(host, host.state.restore(self.stored, self.now_s))
+        self.apply(host, host.state.restore_quarantine(self.stored, self.now_s))
 
     def restart(self, host: peers.Host) -> peers.Host:
         """Restarts a host: it loses its state and its requests."""
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -558,7 +558,7 @@
     assert context.result.kind is errors.ErrorKind.CALLER_GONE
 
     def is_empty() -> bool:
-        return not context.play.desk.look(lambda b: len(b.queue.waiting))
+        return not context.play.desk.query(lambda b: len(b.queue.waiting))
 
     stage.wait_until(is_empty, 2.0, "nothing waits")
 
@@ -595,7 +595,7 @@
 
     def is_down() -> bool:
         return bool(
-            context.play.desk.look(lambda b: "a100-0" in b.fleet.health.failed)
+            context.play.desk.query(lambda b: "a100-0" in b.fleet.health.failed)
         )
 
     assert is_down()
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -250,9 +250,9 @@
 def make_prober(context: Any) -> tuple[Any, FailOnce]:
     """Returns a prober whose desk fails at the first question."""
     make_desk(context)
-    context.desk.take_due = FailOnce(desk.Due)
+    context.desk.tick = FailOnce(desk.Due)
     found = probes.Prober(context.desk, lambda entry: None)
-    return found, context.desk.take_due
+    return found, context.desk.tick
 
 
 def make_keeper(context: Any) -> tuple[Any, FailOnce]:
--- a/tests/steps/silence_steps.py
+++ b/tests/steps/silence_steps.py
@@ -135,7 +135,7 @@
 @then('the desk knows that "{name}" is down')
 def step_down(context: Any, name: str) -> None:
     stage.wait_until(
-        lambda: context.play.desk.look(
+        lambda: context.play.desk.query(
             lambda state: state.fleet.health.is_down(name)
         ),
         2.0,
@@ -177,7 +177,7 @@
         answer = signals.Signals(backoff_s=rest_s)
         context.play.desk.note_signals(name, answer)
     # Taken once the desk answers what was asked after it.
-    context.play.desk.look(lambda state: None)
+    context.play.desk.query(lambda state: None)
 
 
 @then("none of them is asked, and others are asked")
