--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -31,7 +31,7 @@
 from egretspur.routing import fleet as fleets
 
 # Fraction of its route's objective that a request may wait for request memory.
-# The rest is needed to process its prompt.
+# The rest is needed to process its prompt before the objective is missed.
 QUEUE_WAIT_FRACTION: Final = 0.7
 
 # Fraction of its route's `patience_s` that an interrupted answer may wait to be
@@ -48,7 +48,7 @@
 # Minimum interval between path searches for queued requests, unless this host
 # itself frees request memory. Reports and peer updates arrive some hundred
 # times a second, and each search takes milliseconds.
-WAIT_S: Final = 0.1
+SEARCH_INTERVAL_S: Final = 0.1
 
 MAX_QUEUED: Final = 200
 
@@ -537,7 +537,7 @@
             self._notes.append(self.search.explain(job, spec, now_s))
 
     def _start_queued(self, now_s: float) -> list[jobs.Effect]:
-        """Serves the queue, unless that was done a moment ago."""
+        """Serves the queue if due, else refuses only quarantined requests."""
         if self._was_served(now_s):
             return self._refuse_all_quarantined(now_s)
         return self._serve_queue(now_s)
@@ -575,12 +575,12 @@
                 queues.start(self.queue, item)
                 effects.append(start)
         if self.queue.waiting:
-            self._served_until_s = now_s + WAIT_S
+            self._served_until_s = now_s + SEARCH_INTERVAL_S
             self._served_revision = self.fleet.get_own_revision()
         return effects
 
     def _was_served(self, now_s: float) -> bool:
-        """Returns whether the queue was served and nothing changed since."""
+        """Returns whether the queue was served and is not due again yet."""
         return (
             now_s < self._served_until_s
             and self._served_revision == self.fleet.get_own_revision()
--- a/egretspur/routing/questions.py
+++ b/egretspur/routing/questions.py
@@ -67,13 +67,13 @@
 
 
 def resolve_future(fut: concurrent.futures.Future[D], decision: D) -> None:
-    """Resolves a future, unless its thread cancelled it."""
+    """Resolves a future, unless its thread gave up and resolved it itself."""
     if fut.done():
         return
     try:
         fut.set_result(decision)
     except concurrent.futures.InvalidStateError:
-        # The thread cancelled it after the check above.
+        # The thread gave up after the check above.
         return
 
 
--- a/tests/routing/broker.feature
+++ b/tests/routing/broker.feature
@@ -3,7 +3,7 @@
   Scenario: Request memory is not overcommitted
     # Guards against engines that evict running requests because a burst gave
     # each more requests than its memory holds.
-    Given a chain of engines with room for about 45000 tokens
+    Given a chain of engines with memory for about 45000 tokens
     When 80 requests of 900 tokens arrive at once
     Then no engine is given more than its request memory
     And the others wait
@@ -13,14 +13,14 @@
   Scenario: A request that can't be started in time is refused at once
     # Guards against callers that wait until their own timeout and then do not
     # know whether the request was run.
-    Given a chain of engines with room for about 45000 tokens
+    Given a chain of engines with memory for about 45000 tokens
     When 80 requests of 900 tokens arrive at once
     And 0.4 s go by at the host
     Then the waiting ones are refused as not run, with a Retry-After of 0.7 to 2 s
 
   Scenario: Request memory used by other hosts counts
     # Guards against eight hosts that fill an engine eight times.
-    Given a chain of engines with room for about 45000 tokens
+    Given a chain of engines with memory for about 45000 tokens
     And another host that has 43000 tokens in flight there
     When 5 requests of 900 tokens arrive at once
     Then at most 2 of them are started
@@ -87,7 +87,7 @@
     # Guards against an overdrawn retry budget with no log line that shows which
     # request took the retry.
     Given hosts that may repeat <repeats>
-    And a chain of engines with room for about 45000 tokens
+    And a chain of engines with memory for about 45000 tokens
     When the first engine is unreachable
     Then the log has the retry as <event>, with <sent> sent of <part>
 
@@ -98,19 +98,19 @@
 
   Scenario: An engine refuses a request, and another one can run it
     # Guards against a retry at the engine that has just refused the request.
-    Given a chain of engines with room for about 45000 tokens
+    Given a chain of engines with memory for about 45000 tokens
     And a twin of its first engine
     When a request runs and its first engine refuses it
     Then it runs at the twin of that engine, with 1 retry sent
 
   Scenario: An engine refuses a request, and no other one can run it
-    Given a chain of engines with room for about 45000 tokens
+    Given a chain of engines with memory for about 45000 tokens
     When a request runs and its first engine refuses it
     Then it waits, and another request runs meanwhile
     And it runs 0.1 s later, with 1 retry sent
 
   Scenario: A retry that was not sent is returned to the budget
-    Given a chain of engines with room for about 45000 tokens
+    Given a chain of engines with memory for about 45000 tokens
     When a request runs and its first engine refuses it
     And that engine is full
     Then it is refused as not run, with 0 retries sent
@@ -159,7 +159,7 @@
 
   Scenario: One workspace floods the queue
     # Guards against a large workspace whose burst starves a small one.
-    Given a chain of engines with room for about 45000 tokens
+    Given a chain of engines with memory for about 45000 tokens
     When 150 requests of workspace "large" and then 3 of workspace "small" arrive
     And those that were started end one by one within 0.3 s
     Then all 3 of workspace "small" are started
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -61,7 +61,7 @@
         context.budget = repeats.Options(0.0, 0.0, 10.0)
 
 
-@given("a chain of engines with room for about 45000 tokens")
+@given("a chain of engines with memory for about 45000 tokens")
 def step_chain(context: Any) -> None:
     make_chain(context)
 
@@ -184,7 +184,7 @@
         if "r" in context.broker.tickets:
             context.broker.tickets["r"].failed.clear()
             context.broker.tickets["r"].refused.clear()
-        context.now_s += broker.WAIT_S
+        context.now_s += broker.SEARCH_INTERVAL_S
         take(context, context.broker.tick(context.now_s))
     if "r" in context.started:
         context.outcome = "started again"
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on hosts before engines that end under a request."""
+"""Steps on hosts and engines that crash; the model is `crashes`."""
 
 from __future__ import annotations
 
@@ -138,7 +138,7 @@
 
 
 def hear_ends(state: broker.Broker, count: int, now_s: float) -> None:
-    """Has a broker hear that some engines ended under the request."""
+    """Sends a broker a peer update with some crashes under the request."""
     ends = {f"start-{i}": 1.0 for i in range(count)}
     news = fleet.PeerNews(
         "10.9.0.1", "kl-hall", {}, {}, (), {}, ended={crashes.FATAL: ends}
@@ -184,7 +184,7 @@
     job = attrs.evolve(
         fleets.make_job(name, now_s=world.now_s), fingerprint="x"
     )
-    # Else it would go on within another data centre, once.
+    # Otherwise, it would be resumed once in another data centre.
     route = attrs.evolve(job.route, is_resumable=False)
     job = attrs.evolve(job, route=route)
     assert host.state.arrive(job, world.now_s)
@@ -237,7 +237,7 @@
 
 
 def look_up(context: Any, is_answered: bool) -> None:
-    """Sends the look-up; it is answered, or its replica ends."""
+    """Sends the look-up; it is answered, or its replica crashes."""
     world = context.world
     (host,) = world.hosts
     world.arrived += 1
@@ -290,7 +290,7 @@
         hear_ends(host.state, 2, world.now_s)
     host = world.hosts[0]
     name = world.send(host, crashes.FATAL)
-    # Ends nothing, though it is named as one that does.
+    # It crashes nothing, though it is reported as fatal.
     world.due.clear()
     for other in world.hosts:
         hear_ends(other.state, 3, world.now_s)
--- a/tests/steps/limits_steps.py
+++ b/tests/steps/limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps on limits that upstreams name; the model is `tests.routing.limits`."""
+"""Steps on limits that upstreams set; the model is `tests.routing.limits`."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
 
 
 def restart_half(world: limits.World, rate: float) -> None:
-    """Starts half of the hosts again, three times."""
+    """Restarts half of the hosts, three times."""
     for _ in range(3):
         world.play(4, rate)
         world.restart(world.hosts[::2])
@@ -104,7 +104,7 @@
 
 
 def restart_all(world: limits.World, rate: float) -> None:
-    """Starts all hosts again, three times."""
+    """Restarts all hosts, three times."""
     for _ in range(3):
         world.play(4, rate)
         world.restart(world.hosts)
@@ -112,7 +112,7 @@
 
 
 def move_callers(world: limits.World, rate: float) -> None:
-    """Has callers come in at two hosts, and then at others."""
+    """Sends requests to two hosts at a time, moving from host to host."""
     for i in range(7):
         world.play(2, rate, to=world.hosts[i : i + 2])
 
@@ -124,14 +124,14 @@
 
 
 def cut_off(world: limits.World, rate: float) -> None:
-    """Cuts all data centres off from each other."""
+    """Partitions all data centres from each other."""
     world.play(4, rate)
     world.partitioned = frozenset(fleets.DATA_CENTRES)
     world.play(8, rate)
 
 
 def change_limits(world: limits.World, rate: float) -> None:
-    """Has limits fall and rise."""
+    """Lowers and raises the limits."""
     for per_s in (30.0, 4.0, 30.0, 4.0):
         for name in REPLICAS:
             world.set_limit(name, per_s)
@@ -185,8 +185,8 @@
         if arrived_s + waited_s >= last_s
     ]
     assert all(0.0 < after_s <= 10.0 for _, after_s in told), told
-    # No second of the next ten has more than the hosts may send in it, and
-    # some that are beyond all of them.
+    # No second of the next ten may have more retries than the hosts may send
+    # in it, with some margin.
     for second in range(9):
         began_s = context.world.now_s + second
         count = sum(began_s <= at_s < began_s + 1.0 for at_s, _ in told)
@@ -221,7 +221,7 @@
 
 
 def is_held_back(host: limits.Host, now_s: float) -> bool:
-    """Tells whether a host runs a stream and may send no other one now."""
+    """Returns whether a host runs a stream and may not send another now."""
     return any(t.upstream_id for t in host.state.tickets.values()) and not any(
         host.state.throttle.is_open(i, now_s) for i in FIRST_ENGINES
     )
@@ -305,7 +305,7 @@
     told = [
         (a + waited_s, r.retry_after_s)
         for a, waited_s, r in world.refused
-        # By then each host has been asked by all three.
+        # By then each host has received a backoff from all three.
         if first_s - 1.0 <= a + waited_s < first_s
     ]
     assert told
@@ -324,7 +324,7 @@
 
 
 def check_share(context: Any, upstream_id: str, seconds: float) -> None:
-    """Checks that one of three gets a sixth or more of all that comes."""
+    """Checks that one of three gets a sixth or more of all requests."""
     world = context.world
     got = world.count_reached(upstream_id, world.now_s - seconds)
     assert got >= 45.0 * seconds / 6, got
