--- a/egretspur/daemons/pages.py
+++ b/egretspur/daemons/pages.py
@@ -116,7 +116,7 @@
             "store_era": get_era(),
             "log_lines_dropped": handler.dropped if handler else 0,
         }
-        gauges[0].set(to.look(read_figures), own)
+        gauges[0].set(to.query(read_figures), own)
         return registry
 
     def get_snapshot(req: web.Request) -> web.Response:
@@ -127,7 +127,7 @@
         )
 
     app = web.App()
-    web.add_diagnostics(app, collect, lambda: to.look(dump_state), is_ready)
+    web.add_diagnostics(app, collect, lambda: to.query(dump_state), is_ready)
     app.add("GET", "/v1/snapshot/{topic}", get_snapshot)
     return app
 
@@ -172,8 +172,8 @@
                 h.is_down for h in fleet.health.failed.values()
             ),
             "upstreams_limited": len(fleet.throttle.limited),
-            "hosts_sharing": state.repeats.hosts,
-            "list_age_seconds": now_s - state.listed_s,
+            "hosts_sharing": state.retry_budgets.hosts,
+            "list_age_seconds": now_s - state.list_read_s,
         },
         {
             "upstream_in_flight": {i: u.count for i, u in usages.items()},
@@ -188,8 +188,8 @@
     fleet = state.fleet
     return {
         "counts": codec.encode(state.counts),
-        "hosts": state.repeats.hosts,
-        "list_age_s": round(now_s - state.listed_s, 3),
+        "hosts": state.retry_budgets.hosts,
+        "list_age_s": round(now_s - state.list_read_s, 3),
         "waiting": [codec.encode(w) for w in state.queue.waiting.values()],
         "running": {
             t.job.id: [f"{p.id}:{p.first}-{p.last}" for p in t.parts]
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -1,7 +1,7 @@
 """All decisions about the requests of one host, as one pure state machine.
 
-It joins the fleet, the choice of paths, request memory, the queue and the
-retry budget. Methods take a message and the time and return effects;
+It combines the state of upstreams, path search, request memory, the queue and
+the retry budget. Methods take a message and the time and return effects;
 `egretspur.routing.desk` runs them in an actor.
 """
 
@@ -30,35 +30,34 @@
 )
 from egretspur.routing import fleet as fleets
 
-# Part of the objective that a request may wait for request memory. What is
-# left must do for reading its prompt, else it is late as well as slow.
-HOLD_PART: Final = 0.7
+# Fraction of its route's objective that a request may wait for request memory.
+# The rest is needed to process its prompt before the objective is missed.
+QUEUE_WAIT_FRACTION: Final = 0.7
 
-# Part of its caller's patience that an answer which has begun waits for a way
-# to go on. The rest must do for reading its text once more.
-RESUME_HOLD_PART: Final = 0.7
+# Fraction of its route's `patience_s` that an interrupted answer may wait to be
+# resumed. The rest is needed to process its text once more.
+RESUME_WAIT_FRACTION: Final = 0.7
 
-# An upstream that turned a request away, unrun, is sent it again after so long
-# at the earliest: it is as full as it was.
-TURNED_AWAY_S: Final = 0.1
+# Minimum delay before a request is sent again to an upstream that refused it:
+# sooner, the upstream is still as full.
+REFUSAL_DELAY_S: Final = 0.1
 
-# Part by which an upstream's rest is longer than it asked for, at most.
-BACKOFF_SPREAD: Final = 0.1
+# Maximum fraction by which a backoff exceeds what the upstream asked for.
+BACKOFF_JITTER: Final = 0.1
 
-# Where requests wait for room, paths are looked for again after so long, or as
-# soon as this host gives room back. Reports and others' news come some hundred
+# Minimum interval between path searches for queued requests, unless this host
+# itself frees request memory. Reports and peer updates arrive some hundred
 # times a second, and each search takes milliseconds.
-WAIT_S: Final = 0.1
+SEARCH_INTERVAL_S: Final = 0.1
 
-# Requests that wait at most.
-QUEUE_LENGTH: Final = 200
+MAX_QUEUED: Final = 200
 
-# Ranks on the queue: it takes the highest number first.
-TOP_RANK: Final = 9
+# Queue priority of requests of priority 0; the queue serves the highest first.
+MAX_QUEUE_PRIORITY: Final = 9
 
 
 class Broker:
-    """State of one host; see the module's docstring."""
+    """Decision state of one host; see the module's docstring."""
 
     def __init__(
         self,
@@ -69,30 +68,30 @@
     ) -> None:
         self.throttle = throttle.Throttle(data_centre, rng)
         self.fleet = fleets.Fleet(data_centre, using.excess, self.throttle)
-        self._using = using
+        self._mechanisms = using
         self.search = search.Search(self.fleet, using, rng)
-        self.queue = queues.Queue(QUEUE_LENGTH)
+        self.queue = queues.Queue(MAX_QUEUED)
         self.quarantine = quarantines.Quarantine()
-        self._crashes = crashes.Crashes(self.quarantine, self.fleet)
+        self._crashes = crashes.CrashDetector(self.quarantine, self.fleet)
         self._refusals = refusals.Refusals(
             rng, self.quarantine, self.fleet.backpressure
         )
         self.counts = jobs.Counts()
         self.tickets: dict[str, tickets.Ticket] = {}
-        self.repeats = repeats.Repeats(data_centre, budget, rng)
+        self.retry_budgets = repeats.Repeats(data_centre, budget, rng)
         self._rng = rng
         self._services: Mapping[str, config.Service] = {}
-        # Until when a queue that was served is not served again, unless the
-        # fleet's own revision is another.
+        # The queue is not served again before this time unless the fleet's
+        # own revision differs from `_served_revision`.
         self._served_until_s = -math.inf
         self._served_revision = -1
-        # When the list of upstreams was last read.
-        self.listed_s = 0.0
-        # Decisions since the last `take_notes`, for the log.
+        # Monotonic time at which the list of upstreams was last read.
+        self.list_read_s = 0.0
+        # Decisions since the last `take_notes`, to be logged.
         self._notes: list[decisions.Decision] = []
 
     def take_notes(self) -> list[decisions.Decision]:
-        """Returns what was decided since the last call, for the log."""
+        """Returns the decisions made since the last call, for the log."""
         sources = (self._notes, self.fleet.log_events, self._crashes.notes)
         notes = [n for source in sources for n in source]
         for source in sources:
@@ -104,7 +103,7 @@
     def arrive(self, job: jobs.Job, now_s: float) -> list[jobs.Effect]:
         """Starts, queues or refuses a request."""
         self.counts.arrived += 1
-        self.repeats.earn(job.service, now_s)
+        self.retry_budgets.earn(job.service, now_s)
         self.fleet.backpressure.record_demand(job.service, now_s)
         ticket = tickets.Ticket(job)
         self.tickets[job.id] = ticket
@@ -115,21 +114,21 @@
         ticket = self.tickets.get(failure.id)
         if ticket is None:
             return []
-        was_at = ticket.upstream_id
-        at = ticket.list_stages()
+        upstream_id = ticket.upstream_id
+        stages = ticket.list_stages()
         self._release(ticket)
         ticket.is_begun |= failure.is_begun
-        self._blame(ticket, was_at, failure, now_s)
-        if failure.why is jobs.Why.CUT:
+        self._record_failure(ticket, upstream_id, failure, now_s)
+        if failure.kind is jobs.FailureKind.CUT:
             self._crashes.note_cut(
-                ticket.job.fingerprint, at, failure.has_brought, now_s
+                ticket.job.fingerprint, stages, failure.has_output, now_s
             )
-        refusal = self._check_repeat(ticket, failure, now_s)
+        refusal = self._check_retry(ticket, failure, now_s)
         if refusal is not None:
             effects: list[jobs.Effect] = [self._end(ticket, now_s, refusal)]
         else:
             effects = self._admit(ticket, now_s)
-        return effects + self._start_waiting(now_s)
+        return effects + self._start_queued(now_s)
 
     def finish(
         self, job_id: str, now_s: float, is_answered: bool = False
@@ -139,8 +138,8 @@
         Args:
             job_id: The request.
             now_s: Monotonic time.
-            is_answered: An upstream answered it to the end, and not with a
-                failure; else it was given up.
+            is_answered: Whether an upstream answered it completely and without
+                a failure; otherwise it was abandoned.
         """
         ticket = self.tickets.pop(job_id, None)
         if ticket is None:
@@ -151,12 +150,12 @@
         if ticket.upstream_id:
             queues.note_done(self.queue, ticket.job.service, now_s)
         self._release(ticket)
-        self._return_repeat(ticket)
+        self._return_retry(ticket)
         self.counts.finished += 1
-        return self._start_waiting(now_s)
+        return self._start_queued(now_s)
 
-    def note_answer(self, job_id: str, now_s: float) -> None:
-        """Learns from an answer that came."""
+    def record_answer_start(self, job_id: str, now_s: float) -> None:
+        """Records that the upstreams of a request began to answer."""
         ticket = self.tickets.get(job_id)
         if ticket is None or not ticket.upstream_id:
             return
@@ -172,7 +171,7 @@
     def note_signals(
         self, upstream_id: str, answer: signals.Signals, now_s: float
     ) -> list[jobs.Effect]:
-        """Takes what an upstream asked of the hosts beside an answer."""
+        """Applies the flow-control signals that came with an answer."""
         for value in (answer.per_s, answer.backoff_s):
             if isinstance(value, signals.Unreadable):
                 self._note_unreadable(upstream_id, value)
@@ -181,10 +180,10 @@
         if answer.is_leaving:
             self.fleet.backpressure.record_leaving(upstream_id)
         if isinstance(answer.backoff_s, float):
-            # Spread, so that hosts that were asked together come back one by
-            # one.
+            # Jitter, so that hosts that got the signal together do not resume
+            # together.
             backoff_s = answer.backoff_s * (
-                1.0 + self._rng.uniform(0.0, BACKOFF_SPREAD)
+                1.0 + self._rng.uniform(0.0, BACKOFF_JITTER)
             )
             self.fleet.backpressure.record_backoff(
                 upstream_id, backoff_s, now_s
@@ -193,7 +192,7 @@
             self.fleet.backpressure.record_limit(
                 upstream_id, answer.per_s, now_s
             )
-        return self._start_waiting(now_s)
+        return self._start_queued(now_s)
 
     def _note_unreadable(
         self, upstream_id: str, value: signals.Unreadable
@@ -205,117 +204,119 @@
                 )
             )
 
-    def repath(
+    def reroute(
         self,
         job_id: str,
         stalled: frozenset[str],
         now_s: float,
-        has_brought: bool = False,
-    ) -> jobs.Detour:
-        """Moves a running request off engines that hold it up.
+        has_output: bool = False,
+    ) -> jobs.RerouteDecision:
+        """Reroutes a running request around stalled engines.
 
         Args:
             job_id: The request.
-            stalled: Engines that hold it up.
+            stalled: Ids of the engines that delay it.
             now_s: Monotonic time.
-            has_brought: Its attempt has brought a part of the answer.
+            has_output: Whether its attempt has produced part of the answer.
         """
         ticket = self.tickets.get(job_id)
         spec = self._get_spec(ticket.job.service) if ticket else None
         if ticket is None or spec is None or not ticket.parts:
-            return jobs.Detour(None)
-        # The engines it is moved to begin to run it too.
+            return jobs.RerouteDecision(None)
+        # The engines that it is moved to may crash under it as well.
         self._crashes.note_cut(
-            ticket.job.fingerprint, tuple(sorted(stalled)), has_brought, now_s
+            ticket.job.fingerprint, tuple(sorted(stalled)), has_output, now_s
         )
         if self.quarantine.is_held(ticket.job.fingerprint):
-            return jobs.Detour(None, is_ended=True)
-        detour = self._find_detour(
+            return jobs.RerouteDecision(None, is_ended=True)
+        decision = self._find_reroute(
             ticket, spec, stalled, self._can_resume(ticket), now_s
         )
-        if detour.is_ended and not self._take_repeat(ticket, now_s):
-            detour = self._find_detour(ticket, spec, stalled, False, now_s)
-        if detour.parts is not None:
-            self._take_room(ticket, -1)
-            ticket.parts = detour.parts
-            self._take_room(ticket, 1)
-        return detour
-
-    def _find_detour(
+        if decision.is_ended and not self._take_retry(ticket, now_s):
+            decision = self._find_reroute(ticket, spec, stalled, False, now_s)
+        if decision.parts is not None:
+            self._add_memory_use(ticket, -1)
+            ticket.parts = decision.parts
+            self._add_memory_use(ticket, 1)
+        return decision
+
+    def _find_reroute(
         self,
         ticket: tickets.Ticket,
         spec: config.EngineSpec,
         stalled: frozenset[str],
         may_resume: bool,
         now_s: float,
-    ) -> jobs.Detour:
+    ) -> jobs.RerouteDecision:
         return self.search.find_reroute(
             ticket.job, spec, ticket.parts, stalled, may_resume, now_s
         )
 
-    def secure_repeat(self, job_id: str, now_s: float) -> bool:
-        """Tells whether a running attempt may be ended for another one.
+    def reserve_retry(self, job_id: str, now_s: float) -> bool:
+        """Returns whether a running attempt may be ended and retried.
 
-        The repeat is taken at once. Symptom without it: an attempt that is
-        merely silent is ended, no repeat is left, and the caller's answer is
-        cut, which might have gone on.
+        The retry is taken from the budget at once. Otherwise, a silent attempt
+        could be ended with no retry left, which would cut an answer that might
+        have resumed.
         """
         ticket = self.tickets.get(job_id)
         if ticket is None:
             return False
         if self.quarantine.is_held(ticket.job.fingerprint):
             return True
-        return self._can_resume(ticket) and self._take_repeat(ticket, now_s)
+        return self._can_resume(ticket) and self._take_retry(ticket, now_s)
 
-    def _take_repeat(self, ticket: tickets.Ticket, now_s: float) -> bool:
-        """Takes a repeat of the budget, unless the request has one already."""
-        if ticket.repeat_s is not None:
+    def _take_retry(self, ticket: tickets.Ticket, now_s: float) -> bool:
+        """Takes a retry from the budget, unless the request holds one."""
+        if ticket.retry_taken_s is not None:
             return True
-        if self.repeats.spend(ticket.job.service, now_s):
-            ticket.repeat_s = now_s
-        self._notes.append(self._describe_repeat(ticket, now_s))
-        return ticket.repeat_s is not None
-
-    def _return_repeat(self, ticket: tickets.Ticket) -> None:
-        """Gives back a repeat that was taken and not sent."""
-        if ticket.repeat_s is not None:
-            self.repeats.give_back(ticket.job.service, ticket.repeat_s)
-            ticket.repeat_s = None
-
-    def _describe_repeat(
+        if self.retry_budgets.spend(ticket.job.service, now_s):
+            ticket.retry_taken_s = now_s
+        self._notes.append(self._describe_retry(ticket, now_s))
+        return ticket.retry_taken_s is not None
+
+    def _return_retry(self, ticket: tickets.Ticket) -> None:
+        """Returns a retry that was taken and not sent to the budget."""
+        if ticket.retry_taken_s is not None:
+            self.retry_budgets.give_back(
+                ticket.job.service, ticket.retry_taken_s
+            )
+            ticket.retry_taken_s = None
+
+    def _describe_retry(
         self, ticket: tickets.Ticket, now_s: float
     ) -> decisions.RepeatTaken | decisions.BudgetEmpty:
         service = ticket.job.service
-        at = self.repeats.get_standing(service, now_s)
+        standing = self.retry_budgets.get_standing(service, now_s)
         make = (
             decisions.BudgetEmpty
-            if ticket.repeat_s is None
+            if ticket.retry_taken_s is None
             else decisions.RepeatTaken
         )
         return make(
             ticket.job.id,
             service,
-            at.sent,
-            at.part,
-            at.borrowed,
-            self.repeats.hosts,
+            standing.sent,
+            standing.part,
+            standing.borrowed,
+            self.retry_budgets.hosts,
         )
 
-    def restore(
+    def restore_quarantine(
         self, ends: Mapping[str, quarantines.Ends], now_s: float
     ) -> list[jobs.Effect]:
-        """Takes what the store says of requests in quarantine."""
+        """Applies the quarantine as the store has it."""
         self._crashes.restore(ends, now_s)
-        return self._start_waiting(now_s)
+        return self._start_queued(now_s)
 
     def take_unsaved(self) -> list[quarantines.Change]:
-        """Returns what the store is to be told of the quarantine."""
+        """Returns the quarantine changes to be written to the store."""
         return self._crashes.take_unsaved()
 
     def _can_resume(self, ticket: tickets.Ticket) -> bool:
-        """Tells whether a running request may be ended and sent once more."""
+        """Returns whether a running request may be ended and resumed."""
         route = ticket.job.route
-        if not self._using.resuming:
+        if not self._mechanisms.resuming:
             return False
         return route.is_resumable and ticket.runs + 1 < route.max_attempts
 
@@ -324,69 +325,71 @@
     def configure(
         self, cfg: config.Configuration, now_s: float = 0.0
     ) -> list[jobs.Effect]:
-        """Takes a new configuration."""
+        """Applies a new configuration."""
         self._services = cfg.services
         with self.fleet.recording_list_changes(now_s):
             upstreams.configure(self.fleet.roster, cfg.services, now_s)
         return self.refresh(now_s)
 
-    def replace_list(
+    def replace_upstreams(
         self,
         entries: Mapping[str, upstreams.Upstream | feeds.Unreadable],
         now_s: float,
     ) -> list[jobs.Effect]:
-        """Takes the whole list of upstreams, by name."""
-        self.listed_s = now_s
+        """Replaces the list of upstreams; entries are keyed by name."""
+        self.list_read_s = now_s
         with self.fleet.recording_list_changes(now_s):
             upstreams.replace(self.fleet.roster, entries, now_s)
         return self.refresh(now_s)
 
-    def change_list(
+    def change_upstreams(
         self,
         entries: Sequence[
             tuple[str, upstreams.Upstream | feeds.Unreadable | None]
         ],
         now_s: float,
     ) -> list[jobs.Effect]:
-        """Takes changes of the list of upstreams; None for a removal."""
-        self.listed_s = now_s
+        """Applies changes of the list of upstreams; None removes one."""
+        self.list_read_s = now_s
         with self.fleet.recording_list_changes(now_s):
             for name, entry in entries:
                 upstreams.change(self.fleet.roster, name, entry, now_s)
         return self.refresh(now_s)
 
-    def hear(self, news: fleets.PeerUpdate, now_s: float) -> None:
-        """Takes what another host said."""
-        self.fleet.apply_peer_update(news, now_s)
-        self.quarantine.hear(news.ended, now_s)
+    def apply_peer_update(
+        self, update: fleets.PeerUpdate, now_s: float
+    ) -> None:
+        """Applies a peer update."""
+        self.fleet.apply_peer_update(update, now_s)
+        self.quarantine.hear(update.ended, now_s)
         self._crashes.settle(now_s)
-        self.repeats.hear(
-            news.host, news.data_centre, news.spent, now_s, news.is_new
+        self.retry_budgets.hear(
+            update.host, update.data_centre, update.spent, now_s, update.is_new
         )
 
-    def note_hosts(self, hosts: int) -> None:
-        """Takes how many hosts share what all may send, this one included."""
-        self.repeats.hosts = max(1, hosts)
-        self.throttle.demand.hosts = self.repeats.hosts
+    def set_host_count(self, hosts: int) -> None:
+        """Sets how many hosts, with this one, share budgets and limits."""
+        self.retry_budgets.hosts = max(1, hosts)
+        self.throttle.demand.hosts = self.retry_budgets.hosts
 
     def refresh(self, now_s: float) -> list[jobs.Effect]:
-        """Starts what can, after the list of upstreams changed."""
+        """Starts queued requests after the upstreams changed."""
         self.fleet.remove_unlisted()
         self._crashes.settle(now_s)
-        return self._start_waiting(now_s)
+        return self._start_queued(now_s)
 
     def tick(self, now_s: float) -> list[jobs.Effect]:
-        """Refuses what came due and starts what can."""
+        """Refuses requests that waited too long and starts what it can."""
         with self.fleet.recording_list_changes(now_s):
             upstreams.expire(self.fleet.roster, now_s)
         self._crashes.settle(now_s)
         effects: list[jobs.Effect] = []
         for item in queues.expire(self.queue, now_s):
-            effects.append(self._refuse_late(self.tickets[item.id], now_s))
-        return effects + self._start_waiting(now_s)
+            effects.append(self._refuse_expired(self.tickets[item.id], now_s))
+        return effects + self._start_queued(now_s)
 
     def is_busy(self) -> bool:
-        """Tells whether something may come due at any moment."""
+        """Returns whether `tick` is to be called at short intervals."""
         return (
             bool(self.queue.waiting)
             or self.fleet.has_pending_probes()
@@ -397,7 +400,7 @@
 
     def _admit(self, ticket: tickets.Ticket, now_s: float) -> list[jobs.Effect]:
         if self.quarantine.is_held(ticket.job.fingerprint):
-            return [self._refuse_held(ticket, now_s)]
+            return [self._refuse_quarantined(ticket, now_s)]
         service = self._services.get(ticket.job.service)
         if service is None:
             return [
@@ -406,12 +409,12 @@
                 )
             ]
         opening = self.fleet.backpressure.find_opening(service.name, now_s)
-        # Plain services take all at once, but for their limits.
+        # Requests to plain services wait only for rate limits.
         is_queued = service.engine is not None or opening is not None
         effects: list[jobs.Effect] = []
         is_behind = is_queued and self._has_waiting(service.name, now_s)
         if is_behind:
-            # What has come free is theirs before it is counted as missing.
+            # Serve the requests that wait already before this one.
             effects = self._serve_queue(now_s)
             is_behind = self._has_waiting(service.name, now_s)
         if not is_behind:
@@ -431,7 +434,7 @@
         ]
 
     def _has_waiting(self, service: str, now_s: float) -> bool:
-        """Tells whether requests wait that could take what is free."""
+        """Returns whether requests wait that could use free capacity."""
         return any(
             w.graph == service and not self.tickets[w.id].list_refused(now_s)
             for w in self.queue.waiting.values()
@@ -444,17 +447,17 @@
         now_s: float,
     ) -> list[jobs.Effect]:
         job = ticket.job
-        hold_s = HOLD_PART * job.route.objective_s
+        hold_s = QUEUE_WAIT_FRACTION * job.route.objective_s
         due_s = job.arrived_s + hold_s
         if ticket.is_begun:
-            due_s = now_s + RESUME_HOLD_PART * job.route.patience_s
+            due_s = now_s + RESUME_WAIT_FRACTION * job.route.patience_s
         elif ticket.runs or ticket.refusals:
             due_s = now_s + hold_s / 2
         item = queues.Waiting(
             job.id,
             job.workspace,
             job.service,
-            TOP_RANK - job.priority,
+            MAX_QUEUE_PRIORITY - job.priority,
             job.arrived_s,
             min(due_s, job.deadline_s),
             ticket.is_begun,
@@ -467,11 +470,13 @@
             if now_s + turn_s > item.deadline_s:
                 return [self._refuse_limited(ticket, opening, now_s)]
         self.counts.queued += 1
-        self._note_missing(job, now_s)
+        self._log_missing_path(job, now_s)
         self._notes.append(
             decisions.RequestQueued(
                 job.id,
-                "upstreams' limits" if opening else "no path has room",
+                "upstreams are at their rate limits"
+                if opening
+                else "no path has free capacity",
                 len(self.queue.waiting),
                 item.deadline_s - now_s,
             )
@@ -487,12 +492,13 @@
                 loser,
                 now_s,
                 errors.ErrorKind.QUEUE_FULL,
-                "gave way to a more urgent or less served request",
+                "evicted from the full queue by a request that is more urgent"
+                " or of a less served workspace",
             )
         ]
 
     def _count_waiting(self, job: jobs.Job) -> int:
-        """Returns how many others wait for the same service."""
+        """Returns how many other requests wait for the same service."""
         return sum(
             w.graph == job.service and w.id != job.id
             for w in self.queue.waiting.values()
@@ -501,59 +507,62 @@
     def _refuse_limited(
         self, ticket: tickets.Ticket, opening: throttle.Opening, now_s: float
     ) -> questions.Refuse:
-        """Refuses a request whose turn comes too late, until that turn."""
+        """Refuses a request that rate limits would delay for too long."""
         waiting = self._count_waiting(ticket.job)
-        refusal = self._refusals.make_limited(ticket, opening, waiting, now_s)
+        refusal = self._refusals.make_rate_limited(
+            ticket, opening, waiting, now_s
+        )
         return self._end(ticket, now_s, refusal)
 
-    def _refuse_late(
+    def _refuse_expired(
         self, ticket: tickets.Ticket, now_s: float
     ) -> questions.Refuse:
-        """Refuses a request that has waited in vain."""
+        """Refuses a request that has waited in the queue for too long."""
         opening = self.fleet.backpressure.find_opening(
             ticket.job.service, now_s
         )
         if opening is not None:
             return self._refuse_limited(ticket, opening, now_s)
         return self._refuse(
-            ticket, now_s, errors.ErrorKind.DEADLINE, "no room in time"
+            ticket, now_s, errors.ErrorKind.DEADLINE, "no capacity in time"
         )
 
-    def _refuse_held(
+    def _refuse_quarantined(
         self, ticket: tickets.Ticket, now_s: float
     ) -> questions.Refuse:
-        """Refuses a request that may not be sent."""
+        """Refuses a quarantined request."""
         return self._refuse(
             ticket,
             now_s,
             errors.ErrorKind.QUARANTINED,
-            "upstreams ended under it before",
+            "upstreams crashed under it before",
         )
 
-    def _note_missing(self, job: jobs.Job, now_s: float) -> None:
-        """Notes for the log why a request waits."""
+    def _log_missing_path(self, job: jobs.Job, now_s: float) -> None:
+        """Records for the log why no path is available to a request."""
         spec = self._get_spec(job.service)
         if spec is not None:
             self._notes.append(self.search.explain_missing(job, spec, now_s))
 
-    def _start_waiting(self, now_s: float) -> list[jobs.Effect]:
-        """Serves the queue, unless that was done just now."""
+    def _start_queued(self, now_s: float) -> list[jobs.Effect]:
+        """Serves the queue if due, else refuses only quarantined requests."""
         if self._was_served(now_s):
-            return self._refuse_all_held(now_s)
+            return self._refuse_all_quarantined(now_s)
         return self._serve_queue(now_s)
 
-    def _refuse_all_held(self, now_s: float) -> list[jobs.Effect]:
-        """Refuses the requests that wait and may not be sent any more."""
+    def _refuse_all_quarantined(self, now_s: float) -> list[jobs.Effect]:
+        """Refuses the queued requests that are quarantined by now."""
         return [
-            self._refuse_held(self.tickets[i], now_s)
+            self._refuse_quarantined(self.tickets[i], now_s)
             for i in list(self.queue.waiting)
             if self.quarantine.is_held(self.tickets[i].job.fingerprint)
         ]
 
     def _serve_queue(self, now_s: float) -> list[jobs.Effect]:
-        """Starts the requests that wait and for which there is a path now."""
-        effects = self._refuse_all_held(now_s)
-        # Services without a path, and requests without one for themselves.
+        """Starts the queued requests that have a path or a replica now."""
+        effects = self._refuse_all_quarantined(now_s)
+        # Services without a path, and ids of requests that have none because
+        # upstreams refused them.
         stuck: set[str] = set()
         while self.queue.waiting:
             items = [
@@ -567,19 +576,19 @@
                 ticket = self.tickets[item.id]
                 start = self._try_start(ticket, now_s)
                 if start is None:
-                    # Others may go where this one was turned away.
+                    # Upstreams that refused this one may take others.
                     is_held_back = bool(ticket.list_refused(now_s))
                     stuck.add(item.id if is_held_back else item.graph)
                     continue
                 queues.start(self.queue, item)
                 effects.append(start)
         if self.queue.waiting:
-            self._served_until_s = now_s + WAIT_S
+            self._served_until_s = now_s + SEARCH_INTERVAL_S
             self._served_revision = self.fleet.get_own_revision()
         return effects
 
     def _was_served(self, now_s: float) -> bool:
-        """Tells whether the queue was served just now, and for nothing new."""
+        """Returns whether the queue was served and is not due again yet."""
         return (
             now_s < self._served_until_s
             and self._served_revision == self.fleet.get_own_revision()
@@ -588,7 +597,7 @@
     def _try_start(
         self, ticket: tickets.Ticket, now_s: float
     ) -> jobs.Start | None:
-        """Starts a request for which there is a path, or a replica."""
+        """Starts a request if it has a path or a replica."""
         service = self._services.get(ticket.job.service)
         if service is None:
             return None
@@ -616,11 +625,11 @@
         ticket.upstream_id = entry.id
         ticket.started_s = now_s
         ticket.attempts += 1
-        if ticket.repeat_s is not None:
-            ticket.repeat_s = None
+        if ticket.retry_taken_s is not None:
+            ticket.retry_taken_s = None
             self.counts.repeats += 1
         self._notes.append(self._describe_start(ticket, entry, now_s))
-        self._take_room(ticket, 1)
+        self._add_memory_use(ticket, 1)
         self.throttle.take(entry.id, now_s)
         self.counts.started += 1
         return jobs.Start(ticket.job.id, entry, ticket.parts)
@@ -647,11 +656,11 @@
             paths.format_path(ticket.parts),
             step_s,
             free,
-            now_s - self.listed_s,
+            now_s - self.list_read_s,
             peers,
         )
 
-    def _take_room(self, ticket: tickets.Ticket, sign: int) -> None:
+    def _add_memory_use(self, ticket: tickets.Ticket, sign: int) -> None:
         if not ticket.parts:
             self.fleet.memory.add(ticket.upstream_id, sign, 0.0)
         for part in ticket.parts:
@@ -660,46 +669,46 @@
 
     def _release(self, ticket: tickets.Ticket) -> None:
         if ticket.upstream_id:
-            self._take_room(ticket, -1)
+            self._add_memory_use(ticket, -1)
         ticket.upstream_id = ""
         ticket.parts = ()
 
-    def _blame(
+    def _record_failure(
         self,
         ticket: tickets.Ticket,
-        was_at: str,
+        first_id: str,
         failure: jobs.Failure,
         now_s: float,
     ) -> None:
-        if failure.why is jobs.Why.REFUSED:
+        if failure.kind is jobs.FailureKind.REFUSED:
             ticket.refusals += 1
-        elif failure.why in (jobs.Why.CUT, jobs.Why.FAILED):
+        elif failure.kind in (jobs.FailureKind.CUT, jobs.FailureKind.FAILED):
             ticket.runs += 1
         blamed = set(failure.blamed)
-        if not blamed and was_at:
-            blamed.add(was_at)
+        if not blamed and first_id:
+            blamed.add(first_id)
         ticket.failed |= blamed
-        if failure.why is jobs.Why.REFUSED:
-            until_s = now_s + TURNED_AWAY_S
+        if failure.kind is jobs.FailureKind.REFUSED:
+            until_s = now_s + REFUSAL_DELAY_S
             ticket.refused.update(dict.fromkeys(blamed, until_s))
         for upstream_id in blamed:
-            if failure.why is jobs.Why.UNREACHABLE:
+            if failure.kind is jobs.FailureKind.UNREACHABLE:
                 self.fleet.health.mark_down(upstream_id, now_s)
-            elif failure.why is jobs.Why.CUT:
+            elif failure.kind is jobs.FailureKind.CUT:
                 self.fleet.health.record_fault(upstream_id, now_s)
             elif failure.blamed:
-                # It may also be dead; the probe tells.
+                # It may also be down; the probe finds out.
                 self.fleet.health.record_refusal(upstream_id, now_s)
                 self.fleet.health.record_fault(upstream_id, now_s)
 
-    def _check_repeat(
+    def _check_retry(
         self, ticket: tickets.Ticket, failure: jobs.Failure, now_s: float
     ) -> errors.Refusal | None:
-        """Returns the final answer if the request may not be sent again."""
+        """Returns the final answer if the request may not be retried."""
         is_held = self.quarantine.is_held(ticket.job.fingerprint)
         final = retries.check(ticket, failure, is_held, now_s)
-        if final is None and not self._take_repeat(ticket, now_s):
-            final = retries.make_final(ticket, failure, "no repeats left")
+        if final is None and not self._take_retry(ticket, now_s):
+            final = retries.make_final(ticket, failure, "no retries left")
         if final is None:
             return None
         return self._refusals.make(ticket, final.kind, final.reason, now_s)
@@ -721,7 +730,7 @@
         self.tickets.pop(ticket.job.id, None)
         queues.remove(self.queue, ticket.job.id)
         self._release(ticket)
-        self._return_repeat(ticket)
+        self._return_retry(ticket)
         self.counts.refused += 1
         self._notes.append(
             decisions.RequestRefused(
--- a/egretspur/routing/probes.py
+++ b/egretspur/routing/probes.py
@@ -1,7 +1,7 @@
-"""Has the desk do what came due, and probes upstreams that failed.
+"""Runs the broker's timers and probes upstreams that failed.
 
-Symptom without probes: requests themselves find out whether an upstream is
-back, each at the price of a time-out and a repeat. Read next:
+Without probes, requests themselves would find out whether an upstream has
+recovered, each at the cost of a timeout and a retry. Read next:
 `egretspur.routing.health`.
 """
 
@@ -17,17 +17,18 @@
 from egretspur.catalog import upstreams
 from egretspur.routing import desk
 
-# Seconds between two looks at what is due while a request waits or an upstream
-# has just failed, and otherwise: then little comes due, entries that did not
-# come back and probes of upstreams that are long dead.
-PERIOD_S: Final = 0.05
-REST_S: Final = 0.25
+# Tick interval while a request waits or an upstream has just failed.
+BUSY_TICK_S: Final = 0.05
 
-# Probes at once. A dark upstream holds one for the time of a time-out; half
-# of a data centre may be dark.
-THREADS: Final = 4
+# Tick interval otherwise. Little is due then: removal of list entries that did
+# not come back, and probes of upstreams that have been down for long.
+IDLE_TICK_S: Final = 0.25
 
-# Asks an upstream; returns its report, or None if it did not answer.
+# Maximum concurrent probes. An unreachable upstream occupies a thread until the
+# probe times out, and half of a data centre may be unreachable.
+MAX_PROBES: Final = 4
+
+# Probes an upstream; returns its report, or None if it did not answer.
 Probe = Callable[[upstreams.Upstream], upstreams.EngineReport | None]
 
 
@@ -38,24 +39,24 @@
         self,
         to: desk.Desk,
         probe: Probe,
-        hurry: Callable[[], None] = lambda: None,
+        send_update: Callable[[], None] = lambda: None,
         save: Callable[[Sequence[quarantine.Change]], None] = lambda c: None,
     ) -> None:
-        """Makes a prober.
+        """Creates a prober; `start` runs it.
 
         Args:
-            to: Knows what is due.
-            probe: Asks an upstream.
-            hurry: Called where other hosts should be told of a failing
-                upstream, or of a request to be held, at once.
+            to: Returns the work that is due and receives probe results.
+            probe: Probes an upstream.
+            send_update: Has a peer update sent at once, because of a failing
+                upstream or a change of the quarantine.
             save: Has changes of the quarantine written to the store.
         """
         self._desk = to
         self._probe = probe
-        self._hurry = hurry
+        self._send_update = send_update
         self._save = save
         self._pool = concurrent.futures.ThreadPoolExecutor(
-            THREADS, thread_name_prefix="probe"
+            MAX_PROBES, thread_name_prefix="probe"
         )
         self._stop = threading.Event()
         self._thread = threading.Thread(
@@ -63,29 +64,30 @@
         )
 
     def start(self) -> None:
-        """Starts to look."""
+        """Starts the ticker thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stops; probes under way are left to their bounds."""
+        """Stops the ticker; running probes end by their own timeouts."""
         self._stop.set()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def _run(self) -> None:
-        while not self._stop.wait(PERIOD_S):
-            self._desk.wait_busy(REST_S - PERIOD_S)
+        while not self._stop.wait(BUSY_TICK_S):
+            self._desk.wait_busy(IDLE_TICK_S - BUSY_TICK_S)
             with guard.surviving("tick"):
-                due = self._desk.take_due()
+                due = self._desk.tick()
                 for entry in due.probes:
-                    self._pool.submit(self._ask, entry)
+                    self._pool.submit(self._probe_upstream, entry)
                 if due.has_suspects or due.unsaved:
-                    self._hurry()
+                    self._send_update()
                 if due.unsaved:
                     self._save(due.unsaved)
 
-    def _ask(self, entry: upstreams.Upstream) -> None:
+    def _probe_upstream(self, entry: upstreams.Upstream) -> None:
         report = None
         with guard.surviving("probe"):
             report = self._probe(entry)
-        # Told in any case, or it would never be asked again.
+        # Sent also after an error; without a result, the upstream would never
+        # be probed again.
         self._desk.tell(desk.Probed(entry.id, report))
--- a/egretspur/routing/refusals.py
+++ b/egretspur/routing/refusals.py
@@ -1,4 +1,4 @@
-"""What a host answers a request that it gives up, and when to come back: pure.
+"""Builds the final answer of a refused request, with its Retry-After: pure.
 
 Read next: `egretspur.errors`, `egretspur.routing.returns`.
 """
@@ -12,8 +12,8 @@
 from egretspur.admission import quarantine, throttle
 from egretspur.routing import backpressure, returns, tickets
 
-# Bounds of Retry-After, in seconds: spread, so that callers refused together
-# do not come back together.
+# Bounds of the random Retry-After in seconds. The jitter keeps callers that
+# were refused together from retrying together.
 RETRY_AFTER_S: Final = (0.7, 2.0)
 
 
@@ -23,20 +23,20 @@
     def __init__(
         self,
         rng: random.Random,
-        held: quarantine.Quarantine,
+        quarantined: quarantine.Quarantine,
         state: backpressure.Backpressure,
     ) -> None:
-        """Makes refusals.
+        """Creates the builder of refusals.
 
         Args:
-            rng: Draws when callers come back.
-            held: Requests that are sent to no upstream.
-            state: What upstreams ask for.
+            rng: Draws Retry-After times.
+            quarantined: Quarantined requests.
+            state: Limits and backoffs of upstreams.
         """
         self._rng = rng
-        self._held = held
+        self._quarantine = quarantined
         self._backpressure = state
-        self._returns = returns.Returns()
+        self._retry_schedule = returns.RetrySchedule()
 
     def make(
         self,
@@ -45,11 +45,11 @@
         reason: str,
         now_s: float,
     ) -> errors.Refusal:
-        """Returns a request's final answer, "not run" only if that is true."""
-        kind = _check_promise(ticket, kind)
+        """Returns a request's final answer; says "not run" only if certain."""
+        kind = _withhold_not_run(ticket, kind)
         after_s = 0.0
         if kind is errors.ErrorKind.QUARANTINED:
-            after_s = self._held.get_retry_after_s(ticket.job.fingerprint)
+            after_s = self._quarantine.get_retry_after_s(ticket.job.fingerprint)
         elif errors.ANSWERS[kind].not_run:
             backoff_s = self._backpressure.find_backoff_s(
                 ticket.job.service, now_s
@@ -57,33 +57,33 @@
             after_s = backoff_s or self._rng.uniform(*RETRY_AFTER_S)
         return errors.Refusal(kind, reason, after_s)
 
-    def make_limited(
+    def make_rate_limited(
         self,
         ticket: tickets.Ticket,
         opening: throttle.Opening,
         waiting: int,
         now_s: float,
     ) -> errors.Refusal:
-        """Returns the answer to one whose turn at its upstreams is too late.
+        """Returns the answer to a request that limits would delay too long.
 
         Args:
             ticket: The request.
-            opening: When the upstreams take more of this host.
-            waiting: Requests that wait for that here.
+            opening: When the upstreams accept the next request of this host.
+            waiting: Number of requests that wait for that on this host.
             now_s: Monotonic time.
         """
-        kind = _check_promise(ticket, errors.ErrorKind.UPSTREAM_LIMITED)
-        after_s = self._returns.promise(
+        kind = _withhold_not_run(ticket, errors.ErrorKind.UPSTREAM_LIMITED)
+        after_s = self._retry_schedule.assign_delay_s(
             ticket.job.service, opening, waiting, now_s
         )
         return errors.Refusal(kind, opening.describe(waiting), after_s)
 
 
-def _check_promise(
+def _withhold_not_run(
     ticket: tickets.Ticket, kind: errors.ErrorKind
 ) -> errors.ErrorKind:
-    """Returns a kind that promises no more than is certain."""
+    """Replaces a kind that says "not run" where that is not certain."""
     if ticket.runs and errors.ANSWERS[kind].not_run:
-        # An earlier send may have run, whatever happened since.
+        # An earlier attempt may have run.
         return errors.ErrorKind.UPSTREAM_FAILED
     return kind
--- a/egretspur/routing/search.py
+++ b/egretspur/routing/search.py
@@ -143,7 +143,7 @@
         stalled: frozenset[str],
         may_resume: bool,
         now_s: float,
-    ) -> jobs.Detour:
+    ) -> jobs.RerouteDecision:
         """Finds how to reroute a running request around stalled engines.
 
         Prefers a new tail within the data centres that the path already uses.
@@ -174,13 +174,13 @@
             and may_resume
             and self.choose(job, spec, candidates, now_s)
         ):
-            return jobs.Detour(None, True)
+            return jobs.RerouteDecision(None, True)
         for data_centres in (near, candidates.data_centres):
             if found is None and keeps_first:
                 found = self._find_tail(
                     job, spec, parts[0], candidates, data_centres, math.inf
                 )
-        return jobs.Detour(found)
+        return jobs.RerouteDecision(found)
 
     def _find_tail(
         self,
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -1,8 +1,8 @@
-"""Hosts before engines that end under a request, without network or threads.
+"""Model of hosts and of engines that crash, without network or threads.
 
-Engines end a moment after they begin to run a request that crashes them, and
-another start of each is back some seconds later. Hosts tell each other by the
-datagrams that they would send. Whoever sends the request may choose any host.
+Engines crash a moment after they begin to run a fatal request, and restart some
+seconds later. Hosts exchange the datagrams that they would send. The fatal
+request may arrive at any host.
 """
 
 from __future__ import annotations
@@ -20,24 +20,29 @@
 from tests import fleets
 from tests.routing import peers
 
-# Seconds between two steps of the model, two datagrams of a host, and from the
-# start of a run to the end of its engine.
+# Time step of the model.
 STEP_S: Final = 0.02
-NEWS_S: Final = 0.25
+
+# Interval of the datagrams of a host.
+UPDATE_PERIOD_S: Final = 0.25
+
+# From the start of an attempt until its first event, or until its engine
+# crashes.
 RUN_S: Final = 0.1
 
-# An answer that nothing disturbs takes so long, in seconds.
+# Duration of an undisturbed answer.
 ANSWER_S: Final = 0.5
 
-# An engine that ended is off the list after the first, and back after the
-# second time, in seconds.
-LISTED_S: Final = 2.0
-AWAY_S: Final = 4.0
+# Time from an engine's crash until it is removed from the list.
+UNLIST_DELAY_S: Final = 2.0
 
-# Hosts are held to the bound so long after the third end, in seconds.
-CONTACT_S: Final = 3.0
+# Time from an engine's crash until its restart.
+RESTART_DELAY_S: Final = 4.0
 
-# Whole chains of a data centre: two engines hold the first half of the layers,
+# Time from the third crash until the bound on further attempts applies.
+SETTLE_S: Final = 3.0
+
+# Layers of the engines of each data centre: two engines hold the first half,
 # two the rest.
 RANGES: Final = ("0-40", "0-40", "40-80", "40-80")
 
@@ -46,7 +51,7 @@
 
 @attrs.define
 class Run:
-    """An attempt under way."""
+    """An attempt in flight."""
 
     host: peers.Host
     job: jobs.Job
@@ -62,26 +67,27 @@
     rng: random.Random
     now_s: float = 1.0
     hosts: list[peers.Host] = attrs.Factory(list)
-    # Engines that live, by id of their start.
+    # Running engines by id; each start of an engine has its own.
     live: dict[str, upstreams.Upstream] = attrs.Factory(dict)
-    # What is due: time, and what is to be done.
+    # Scheduled calls.
     due: peers.Due = attrs.Factory(list)
     runs: dict[str, Run] = attrs.Factory(dict)
-    # Requests that wait for a decision, by id.
+    # Requests without a decision yet, by id.
     waiting: dict[str, tuple[peers.Host, jobs.Job]] = attrs.Factory(dict)
-    # When requests that crash engines reached one, and when one ended.
+    # When fatal requests reached an engine.
     reached_s: list[float] = attrs.Factory(list)
-    ended_s: list[float] = attrs.Factory(list)
+    # When engines crashed.
+    crashed_s: list[float] = attrs.Factory(list)
     answered: set[str] = attrs.Factory(set)
     refused: dict[str, errors.Refusal] = attrs.Factory(dict)
     arrived: int = 0
     starts: int = 0
     # Whether a datagram between two hosts arrives.
-    is_heard: Callable[[peers.Host, peers.Host], bool] = lambda a, b: True
-    # Ends of requests as the store has them.
+    is_delivered: Callable[[peers.Host, peers.Host], bool] = lambda a, b: True
+    # The quarantine as the store has it.
     stored: dict[str, quarantine.Ends] = attrs.Factory(dict)
-    # Runs of which requests bring a part of their answer before engines end.
-    has_late_ends: bool = False
+    # Whether fatal requests produce part of their answer before the crash.
+    crashes_after_output: bool = False
 
     def add_hosts(self, count: int) -> None:
         """Starts hosts and engines in three data centres."""
@@ -93,7 +99,7 @@
                 self.start_engine(place, layers)
 
     def add_host(self, place: str) -> peers.Host:
-        """Starts a host that knows the list and nothing else."""
+        """Starts a host that knows only the list and the store."""
         state = broker.Broker(place, fleets.BUDGET, random.Random(len(place)))
         state.configure(fleets.make_config())
         for entry in self.live.values():
@@ -104,11 +110,11 @@
         return host
 
     def read_store(self, host: peers.Host) -> None:
-        """Has a host read the requests in quarantine."""
-        self.take(host, host.state.restore(self.stored, self.now_s))
+        """Has a host read the quarantine from the store."""
+        self.apply(host, host.state.restore_quarantine(self.stored, self.now_s))
 
     def restart(self, host: peers.Host) -> peers.Host:
-        """Puts a host that knows nothing in the place of another one."""
+        """Restarts a host: it loses its state and its requests."""
         self.hosts.remove(host)
         for name, run in list(self.runs.items()):
             if run.host is host:
@@ -131,28 +137,31 @@
         entry = fleets.make_upstream(name, layers, place)
         self.live[entry.id] = entry
         for host in self.hosts:
-            host.state.change_list([(entry.name, entry)], self.now_s)
+            host.state.change_upstreams([(entry.name, entry)], self.now_s)
 
-    def end_engine(self, upstream_id: str) -> None:
-        """Ends an engine with all that it runs."""
+    def crash_engine(self, upstream_id: str) -> None:
+        """Crashes an engine; all attempts on it are cut."""
         entry = self.live.pop(upstream_id, None)
         if entry is None:
             return
-        self.ended_s.append(self.now_s)
+        self.crashed_s.append(self.now_s)
         assert entry.layers is not None
         layers = f"{entry.layers.first}-{entry.layers.last}"
         for name, run in list(self.runs.items()):
             if run.start.upstream.id == upstream_id:
-                self._lose(name, run)
-        self.after(LISTED_S, lambda: self._unlist(entry))
-        self.after(AWAY_S, lambda: self.start_engine(entry.data_centre, layers))
+                self._cut(name, run)
+        self.schedule(UNLIST_DELAY_S, lambda: self._unlist(entry))
+        self.schedule(
+            RESTART_DELAY_S,
+            lambda: self.start_engine(entry.data_centre, layers),
+        )
 
     def _unlist(self, entry: upstreams.Upstream) -> None:
         for host in self.hosts:
-            host.state.change_list([(entry.name, None)], self.now_s)
+            host.state.change_upstreams([(entry.name, None)], self.now_s)
 
-    def after(self, seconds: float, work: Callable[[], None]) -> None:
-        """Has something done later."""
+    def schedule(self, seconds: float, work: Callable[[], None]) -> None:
+        """Schedules a call."""
         self.due.append((self.now_s + seconds, work))
 
     def send(self, host: peers.Host, fingerprint: str, id_: str = "") -> str:
@@ -163,11 +172,11 @@
             fleets.make_job(name, now_s=self.now_s), fingerprint=fingerprint
         )
         self.waiting[name] = (host, job)
-        self.take(host, host.state.arrive(job, self.now_s))
+        self.apply(host, host.state.arrive(job, self.now_s))
         return name
 
-    def take(self, host: peers.Host, effects: list[jobs.Effect]) -> None:
-        """Runs what a host decided."""
+    def apply(self, host: peers.Host, effects: list[jobs.Effect]) -> None:
+        """Applies the decisions of a host."""
         for effect in effects:
             owner, job = self.waiting.pop(effect.id)
             assert owner is host
@@ -183,45 +192,47 @@
         engine = start.upstream.id
         self.runs[job.id] = run
         if engine not in self.live:
-            failure = jobs.Failure(job.id, jobs.Why.UNREACHABLE, "no listener")
+            failure = jobs.Failure(
+                job.id, jobs.FailureKind.UNREACHABLE, "no listener"
+            )
             self._fail(job.id, run, failure)
         elif job.fingerprint.startswith(FATAL):
             self.reached_s.append(self.now_s)
-            self.after(RUN_S, lambda: self.end_engine(engine))
-            run.is_begun = self.has_late_ends
+            self.schedule(RUN_S, lambda: self.crash_engine(engine))
+            run.is_begun = self.crashes_after_output
 
-    def _lose(self, name: str, run: Run) -> None:
-        """Takes that an attempt's engine ended."""
+    def _cut(self, name: str, run: Run) -> None:
+        """Cuts an attempt whose engine crashed."""
         reason = f"{run.start.upstream.id}: connection broken"
         failure = jobs.Failure(
             name,
-            jobs.Why.CUT,
+            jobs.FailureKind.CUT,
             reason,
             is_begun=run.is_begun,
-            has_brought=run.is_begun,
+            has_output=run.is_begun,
         )
         self._fail(name, run, failure)
 
     def _fail(self, name: str, run: Run, failure: jobs.Failure) -> None:
         del self.runs[name]
         self.waiting[name] = (run.host, run.job)
-        self.take(run.host, run.host.state.fail(failure, self.now_s))
+        self.apply(run.host, run.host.state.fail(failure, self.now_s))
 
     def play(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Runs the model for some seconds."""
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             self.now_s += STEP_S
             peers.run_due(self.due, self.now_s)
             self._answer()
             for host in list(self.hosts):
-                self.take(host, host.state.tick(self.now_s))
+                self.apply(host, host.state.tick(self.now_s))
                 self._probe(host)
                 self._save(host)
                 if self.now_s >= host.next_update_s:
-                    host.next_update_s = self.now_s + NEWS_S
+                    host.next_update_s = self.now_s + UPDATE_PERIOD_S
                     peers.send_update(
-                        host, self.hosts, self.is_heard, self.now_s
+                        host, self.hosts, self.is_delivered, self.now_s
                     )
 
     def _save(self, host: peers.Host) -> None:
@@ -237,15 +248,15 @@
             age_s = self.now_s - run.began_s
             if age_s >= RUN_S and not run.is_begun:
                 run.is_begun = True
-                run.host.state.note_answer(name, self.now_s)
+                run.host.state.record_answer_start(name, self.now_s)
             if age_s >= ANSWER_S:
                 del self.runs[name]
                 self.answered.add(name)
                 self.finish(run.host, name)
 
     def finish(self, host: peers.Host, name: str) -> None:
-        """Ends a request whose answer its caller has."""
-        self.take(host, host.state.finish(name, self.now_s, True))
+        """Ends a request that was answered completely."""
+        self.apply(host, host.state.finish(name, self.now_s, True))
 
     def _probe(self, host: peers.Host) -> None:
         for entry in host.state.fleet.take_probes(self.now_s):
@@ -253,8 +264,8 @@
             host.state.fleet.apply_report(entry.id, report, self.now_s)
 
     def count_late(self) -> int:
-        """Returns how often engines were reached after the bound began."""
-        if len(self.ended_s) < 3:
+        """Returns how often fatal requests reached engines past the bound."""
+        if len(self.crashed_s) < 3:
             return 0
-        bound_s = self.ended_s[2] + CONTACT_S
+        bound_s = self.crashed_s[2] + SETTLE_S
         return sum(1 for t in self.reached_s if t > bound_s)
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -61,7 +61,7 @@
         context.budget = repeats.Options(0.0, 0.0, 10.0)
 
 
-@given("a chain of engines with room for about 45000 tokens")
+@given("a chain of engines with memory for about 45000 tokens")
 def step_chain(context: Any) -> None:
     make_chain(context)
 
@@ -151,8 +151,8 @@
 
 
 @then(
-    "the waiting ones are refused as not run,"
-    " to come back after {low:g} to {high:g} s"
+    "the waiting ones are refused as not run, with a Retry-After of"
+    " {low:g} to {high:g} s"
 )
 def step_refused(context: Any, low: float, high: float) -> None:
     waiting = set(context.names) - set(context.started)
@@ -173,7 +173,9 @@
     arrive(context, "r", kind)
     for _ in range(times):
         start = context.started.pop("r")
-        failure = jobs.Failure("r", jobs.Why(why), "test", (start.upstream.id,))
+        failure = jobs.Failure(
+            "r", jobs.FailureKind(why), "test", (start.upstream.id,)
+        )
         # Engines that failed are back at once; only the request counts here.
         take(context, context.broker.fail(failure, context.now_s))
         for name in list(context.broker.fleet.health.failed):
@@ -182,7 +184,7 @@
         if "r" in context.broker.tickets:
             context.broker.tickets["r"].failed.clear()
             context.broker.tickets["r"].refused.clear()
-        context.now_s += broker.WAIT_S
+        context.now_s += broker.SEARCH_INTERVAL_S
         take(context, context.broker.tick(context.now_s))
     if "r" in context.started:
         context.outcome = "started again"
@@ -191,15 +193,15 @@
 
 
 @when(
-    'a request of kind "{kind}" fails as "{why}" {times:d} times'
-    " and all engines go"
+    'a request of kind "{kind}" fails as "{why}" {times:d} times and all'
+    " engines are removed"
 )
 def step_fail_all(context: Any, kind: str, why: str, times: int) -> None:
     arrive(context, "r", kind)
     roster = context.broker.fleet.roster
     for name in CHAIN:
         upstreams.drop(roster, name, context.now_s)
-    failure = jobs.Failure("r", jobs.Why(why), "test")
+    failure = jobs.Failure("r", jobs.FailureKind(why), "test")
     take(context, context.broker.fail(failure, context.now_s))
 
 
@@ -241,12 +243,12 @@
         context.at_once.append(count)
 
 
-@then("at least {count:d} of the answers of each host can go on at once")
+@then("at least {count:d} of the answers of each host can be resumed at once")
 def step_at_once(context: Any, count: int) -> None:
     assert min(context.at_once) >= count, context.at_once
 
 
-@then("no {window:d} s hold more than {most:d} repeats")
+@then("no {window:d} s have more than {most:d} retries")
 def step_repeats(context: Any, window: int, most: int) -> None:
     times = context.repeats
     worst = max(
@@ -259,7 +261,9 @@
 def step_unreachable(context: Any) -> None:
     arrive(context, "r")
     assert context.started["r"].upstream.id == "a100-0"
-    failure = jobs.Failure("r", jobs.Why.UNREACHABLE, "test", ("a100-0",))
+    failure = jobs.Failure(
+        "r", jobs.FailureKind.UNREACHABLE, "test", ("a100-0",)
+    )
     take(context, context.broker.fail(failure, context.now_s))
     context.down_s = context.now_s
 
@@ -317,7 +321,7 @@
     step_there(context)
 
 
-@when("an answer pauses and the first engine says that its pace is {pace:d}")
+@when("an answer pauses and the first engine reports a pace of {pace:d}")
 def step_slow(context: Any, pace: int) -> None:
     state = context.broker.fleet
     state.paces.suspect(["a100-0"])
@@ -331,7 +335,7 @@
     assert send_one(context, "n").upstream.id == "a100-twin"
 
 
-@then("it is asked again {seconds:d} s later")
+@then("it is probed again {seconds:d} s later")
 def step_asked(context: Any, seconds: int) -> None:
     state = context.broker.fleet
     assert not state.take_probes(context.now_s + seconds - 0.1)
@@ -339,12 +343,12 @@
     assert [e.id for e in state.take_probes(context.now_s)] == ["a100-0"]
 
 
-@when("it says that its pace is {pace:d}")
+@when("it reports a pace of {pace:d}")
 def step_back_to_pace(context: Any, pace: int) -> None:
     context.broker.fleet.record_probe("a100-0", True, pace, context.now_s)
 
 
-@when("a request runs that has nowhere near by to go on")
+@when("a request runs that can be resumed only in another data centre")
 def step_runs_stuck(context: Any) -> None:
     # A second copy of the model, with another first engine.
     for name, layers in CHAIN.items():
@@ -352,19 +356,19 @@
         upstreams.put(context.broker.fleet.roster, other, context.now_s)
     arrive(context, "r")
     first = context.started["r"].parts[0].id
-    context.detour = context.broker.repath(
+    context.decision = context.broker.reroute(
         "r", frozenset([first]), context.now_s
     )
 
 
 @then("its attempt is {end}")
 def step_attempt_end(context: Any, end: str) -> None:
-    assert context.detour.is_ended == (end == "ended"), context.detour
-    is_secured = context.broker.secure_repeat("r", context.now_s)
-    assert is_secured == (end == "ended")
+    assert context.decision.is_ended == (end == "ended"), context.decision
+    is_reserved = context.broker.reserve_retry("r", context.now_s)
+    assert is_reserved == (end == "ended")
 
 
-@then("the log has the repeat as {event}, with {sent:d} sent of {part:d}")
+@then("the log has the retry as {event}, with {sent:d} sent of {part:d}")
 def step_repeat_noted(context: Any, event: str, sent: int, part: int) -> None:
     lines = [decisions.describe(n) for n in context.broker.take_notes()]
     lines = [n for n in lines if n["event"] == event]
@@ -375,11 +379,11 @@
     assert found == (sent, part, 1), found
 
 
-@when("a request runs and its first engine turns it away")
+@when("a request runs and its first engine refuses it")
 def step_turned_away(context: Any) -> None:
     arrive(context, "r")
     context.first = context.started["r"].parts[0].id
-    failure = jobs.Failure("r", jobs.Why.REFUSED, "full", (), False)
+    failure = jobs.Failure("r", jobs.FailureKind.REFUSED, "full", (), False)
     context.effects = context.broker.fail(failure, context.now_s)
 
 
@@ -390,12 +394,12 @@
 
 def count_repeats(context: Any) -> int:
     """Returns the repeats of the budget that are taken."""
-    return int(context.broker.repeats.get_standing("llm", context.now_s).sent)
+    return int(
+        context.broker.retry_budgets.get_standing("llm", context.now_s).sent
+    )
 
 
-@then(
-    "it runs at the twin of that engine, with {count:d} repeat sent",
-)
+@then("it runs at the twin of that engine, with {count:d} retry sent")
 def step_at_twin(context: Any, count: int) -> None:
     (start,) = context.effects
     assert isinstance(start, jobs.Start), start
@@ -410,7 +414,7 @@
     assert "s" in context.started
 
 
-@then("it runs {later:g} s later, with {count:d} repeat sent")
+@then("it runs {later:g} s later, with {count:d} retry sent")
 def step_runs_later(context: Any, later: float, count: int) -> None:
     context.now_s += later
     (start,) = context.broker.tick(context.now_s)
@@ -419,7 +423,7 @@
     assert count_repeats(context) == count
 
 
-@then("it is refused as not run, with {count:d} repeats sent")
+@then("it is refused as not run, with {count:d} retries sent")
 def step_refused_unrun(context: Any, count: int) -> None:
     context.now_s += 1.0
     (refused,) = context.broker.tick(context.now_s)
@@ -427,13 +431,15 @@
     assert count_repeats(context) == count
 
 
-@then("it goes on with one repeat spent")
+@then("it is resumed with one retry spent")
 def step_one_repeat(context: Any) -> None:
-    spent = context.broker.repeats.list_spent(context.now_s)["llm"]
-    failure = jobs.Failure("r", jobs.Why.CUT, "interrupted", (), True)
+    spent = context.broker.retry_budgets.list_spent(context.now_s)["llm"]
+    failure = jobs.Failure("r", jobs.FailureKind.CUT, "interrupted", (), True)
     effects = context.broker.fail(failure, context.now_s)
     assert isinstance(effects[0], jobs.Start), effects
-    assert context.broker.repeats.list_spent(context.now_s)["llm"] == spent
+    assert (
+        context.broker.retry_budgets.list_spent(context.now_s)["llm"] == spent
+    )
     assert context.broker.counts.repeats == 1
 
 
@@ -441,12 +447,12 @@
 def step_stalls(context: Any) -> None:
     arrive(context, "r")
     context.before = context.started["r"].parts
-    context.moved = context.broker.repath(
+    context.moved = context.broker.reroute(
         "r", frozenset(["a100-1"]), context.now_s
     ).parts
 
 
-@then("it is moved to the twin, with the same first stage")
+@then("it is rerouted to the twin, with the same first stage")
 def step_moved(context: Any) -> None:
     assert context.moved[0] == context.before[0]
     assert context.moved[1].id == "a100-twin"
@@ -537,7 +543,7 @@
     state.set_peer_usage(place, memory.PeerUsage(context.now_s, {}, place))
 
 
-@when("the hosts of both are heard")
+@when("the hosts of both send updates")
 def step_both_heard(context: Any) -> None:
     hear(context, "pg-hall")
     hear(context, "cj-hall")
@@ -578,14 +584,13 @@
     state.health.record_refusal("l40s-0", 0.0)
 
 
-@when("a request comes")
+@when("a request arrives")
 def step_comes(context: Any) -> None:
     context.broker.arrive(fleets.make_job("r"), 0.1)
 
 
 @then(
-    "the log tells for it which engine is which, and the layers that nobody"
-    " holds"
+    "the log names the state of each engine and the layers that no engine holds"
 )
 def step_told_why(context: Any) -> None:
     notes = context.broker.take_notes()
@@ -647,7 +652,7 @@
     assert not is_sent(context.broker, context.now_s + 0.4)
 
 
-@then("the other host, told of it, sends none there either")
+@then("the other host sends none there either after an update")
 def step_other_none(context: Any) -> None:
     assert not is_sent(context.other, context.now_s + 0.4)
 
@@ -657,7 +662,7 @@
     assert is_sent(context.broker, context.now_s)
 
 
-@then("the other host tells nobody of it")
+@then("the other host does not forward it")
 def step_not_told_on(context: Any) -> None:
     assert context.broker.fleet.memory.list_excess(context.now_s)
     assert not context.other.fleet.memory.list_excess(context.now_s)
--- a/tests/steps/limits_steps.py
+++ b/tests/steps/limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps on limits that upstreams name; the model is `tests.routing.limits`."""
+"""Steps on limits that upstreams set; the model is `tests.routing.limits`."""
 
 from __future__ import annotations
 
@@ -29,43 +29,41 @@
 def step_replicas(context: Any, hosts: int) -> None:
     world = make_world(context, hosts)
     world.add_replicas(REPLICAS)
-    world.play(limits.LEAD_S, 10.0)
+    world.play(limits.WARMUP_S, 10.0)
 
 
 @given("{hosts:d} hosts before a chain of engines in each data centre")
 def step_engines(context: Any, hosts: int) -> None:
     world = make_world(context, hosts)
     world.add_engines()
-    world.play(limits.LEAD_S, 10.0, "streaming")
+    world.play(limits.WARMUP_S, 10.0, "streaming")
 
 
-@when("{who} name a limit of {per_s:g} a second")
+@when("{who} set a limit of {per_s:g} a second")
 def step_name(context: Any, who: str, per_s: float) -> None:
     for name in REPLICAS if who == "all" else REPLICAS[:1]:
-        context.world.name_limit(name, per_s)
+        context.world.set_limit(name, per_s)
 
 
-@when(
-    "the first engines of two data centres name limits of {one:g} and {two:g}"
-)
+@when("the first engines of two data centres set limits of {one:g} and {two:g}")
 def step_name_engines(context: Any, one: float, two: float) -> None:
-    context.world.name_limit(FIRST_ENGINES[0], one)
-    context.world.name_limit(FIRST_ENGINES[1], two)
+    context.world.set_limit(FIRST_ENGINES[0], one)
+    context.world.set_limit(FIRST_ENGINES[1], two)
 
 
-@when("{rate:g} requests a second come for {seconds:g} s")
+@when("{rate:g} requests a second arrive for {seconds:g} s")
 def step_requests(context: Any, rate: float, seconds: float) -> None:
     context.began_s = context.world.now_s
     context.world.play(seconds, rate)
 
 
-@when("{rate:g} streams a second come for {seconds:g} s")
+@when("{rate:g} streams a second arrive for {seconds:g} s")
 def step_streams(context: Any, rate: float, seconds: float) -> None:
     context.began_s = context.world.now_s
     context.world.play(seconds, rate, "streaming")
 
 
-@then("no upstream gets more than it takes from hosts that it had told")
+@then("no upstream gets more than its limit from hosts that know it")
 def step_within(context: Any) -> None:
     world = context.world
     for name in world.limits:
@@ -73,7 +71,7 @@
         assert part <= 1.0, (name, got, allowed)
 
 
-@then("all that came are answered or run")
+@then("all requests are answered or run")
 def step_answered(context: Any) -> None:
     assert not context.world.refused, len(context.world.refused)
 
@@ -89,16 +87,16 @@
 @when("each first engine is down to {per_s:g} requests a second")
 def step_name_first(context: Any, per_s: float) -> None:
     for name in FIRST_ENGINES:
-        context.world.name_limit(name, per_s)
+        context.world.set_limit(name, per_s)
 
 
-@when("{rate:g} requests a second come while {what}")
+@when("{rate:g} requests a second arrive while {what}")
 def step_befall(context: Any, rate: float, what: str) -> None:
     BEFALLS[what](context.world, rate)
 
 
 def restart_half(world: limits.World, rate: float) -> None:
-    """Starts half of the hosts again, three times."""
+    """Restarts half of the hosts, three times."""
     for _ in range(3):
         world.play(4, rate)
         world.restart(world.hosts[::2])
@@ -106,7 +104,7 @@
 
 
 def restart_all(world: limits.World, rate: float) -> None:
-    """Starts all hosts again, three times."""
+    """Restarts all hosts, three times."""
     for _ in range(3):
         world.play(4, rate)
         world.restart(world.hosts)
@@ -114,29 +112,29 @@
 
 
 def move_callers(world: limits.World, rate: float) -> None:
-    """Has callers come in at two hosts, and then at others."""
+    """Sends requests to two hosts at a time, moving from host to host."""
     for i in range(7):
         world.play(2, rate, to=world.hosts[i : i + 2])
 
 
 def lose_news(world: limits.World, rate: float) -> None:
     """Loses datagrams."""
-    world.lost = 0.4
+    world.loss_rate = 0.4
     move_callers(world, rate)
 
 
 def cut_off(world: limits.World, rate: float) -> None:
-    """Cuts all data centres off from each other."""
+    """Partitions all data centres from each other."""
     world.play(4, rate)
-    world.apart = frozenset(fleets.DATA_CENTRES)
+    world.partitioned = frozenset(fleets.DATA_CENTRES)
     world.play(8, rate)
 
 
 def change_limits(world: limits.World, rate: float) -> None:
-    """Has limits fall and rise."""
+    """Lowers and raises the limits."""
     for per_s in (30.0, 4.0, 30.0, 4.0):
         for name in REPLICAS:
-            world.name_limit(name, per_s)
+            world.set_limit(name, per_s)
         world.play(5, rate)
 
 
@@ -178,7 +176,7 @@
         assert refusal.kind.value == kind, refusal
 
 
-@then("those refused at a host in one second are told to come back one by one")
+@then("those refused in one second get Retry-After times one after the other")
 def step_spread(context: Any) -> None:
     last_s = context.world.now_s - 1.0
     told = [
@@ -187,20 +185,20 @@
         if arrived_s + waited_s >= last_s
     ]
     assert all(0.0 < after_s <= 10.0 for _, after_s in told), told
-    # No second of the next ten has more than the hosts may send in it, and
-    # some that are beyond all of them.
+    # No second of the next ten may have more retries than the hosts may send
+    # in it, with some margin.
     for second in range(9):
         began_s = context.world.now_s + second
         count = sum(began_s <= at_s < began_s + 1.0 for at_s, _ in told)
         assert count <= 2 * 15, (second, count)
 
 
-@when("the limit is no longer named")
+@when("the limit is lifted")
 def step_lifted(context: Any) -> None:
-    context.world.name_limit(REPLICAS[0], None)
+    context.world.set_limit(REPLICAS[0], None)
 
 
-@when("{rate:g} requests a second come to {who} for {seconds:g} s")
+@when("{rate:g} requests a second arrive at {who} for {seconds:g} s")
 def step_requests_to(
     context: Any, rate: float, who: str, seconds: float
 ) -> None:
@@ -209,27 +207,27 @@
     world.play(seconds, rate, to=hosts)
 
 
-@when("that replica starts again")
+@when("that replica restarts")
 def step_reborn(context: Any) -> None:
     entry = context.world.entries[REPLICAS[0]]
-    context.world.name_limit(entry.id, None)
+    context.world.set_limit(entry.id, None)
     context.world.add(attrs.evolve(entry, id=f"{entry.name}@2", born_ms=2))
 
 
-@then("no host takes it for limited")
+@then("no host limits it")
 def step_not_limited(context: Any) -> None:
     for host in context.world.hosts:
         assert not host.state.throttle.limited, host.ip
 
 
 def is_held_back(host: limits.Host, now_s: float) -> bool:
-    """Tells whether a host runs a stream and may send no other one now."""
+    """Returns whether a host runs a stream and may not send another now."""
     return any(t.upstream_id for t in host.state.tickets.values()) and not any(
         host.state.throttle.is_open(i, now_s) for i in FIRST_ENGINES
     )
 
 
-@when("a stream that has begun is cut")
+@when("a stream is cut after its first events")
 def step_cut_begun(context: Any) -> None:
     world = context.world
     for _ in range(50):
@@ -241,12 +239,16 @@
     context.cut = next(i for i, t in state.tickets.items() if t.upstream_id)
     world.waiting[context.cut] = world.now_s
     failure = jobs.Failure(
-        context.cut, jobs.Why.CUT, "reset", is_begun=True, has_brought=True
+        context.cut,
+        jobs.FailureKind.CUT,
+        "reset",
+        is_begun=True,
+        has_output=True,
     )
     context.effects = state.fail(failure, world.now_s)
 
 
-@then("it waits in front of all others")
+@then("it waits first in the queue")
 def step_in_front(context: Any) -> None:
     assert not context.effects, context.effects
     state = context.host.state
@@ -256,27 +258,27 @@
     assert item.deadline_s >= context.world.now_s + 0.5 * patience_s
 
 
-@when("one turns all away and asks for {backoff_s:g} s of rest")
+@when("one refuses all requests with a backoff of {backoff_s:g} s")
 def step_away(context: Any, backoff_s: float) -> None:
     context.world.away = {REPLICAS[0]: backoff_s}
 
 
-@when("all turn all away and ask for {backoff_s:g} s of rest")
+@when("all refuse all requests with a backoff of {backoff_s:g} s")
 def step_all_away(context: Any, backoff_s: float) -> None:
     context.world.away = dict.fromkeys(REPLICAS, backoff_s)
 
 
-@when("the first engine of a data centre asks for {backoff_s:g} s of rest")
+@when("the first engine of a data centre sets a backoff of {backoff_s:g} s")
 def step_engine_away(context: Any, backoff_s: float) -> None:
     context.world.away = {FIRST_ENGINES[0]: backoff_s}
 
 
-@when("it takes requests again")
+@when("it accepts requests again")
 def step_well(context: Any) -> None:
     context.world.away = {}
 
 
-@when("the replica that rests starts again")
+@when("that replica restarts during its backoff")
 def step_rested_reborn(context: Any) -> None:
     entry = context.world.entries[REPLICAS[0]]
     context.reborn = f"{entry.name}@2"
@@ -284,26 +286,26 @@
     context.world.add(attrs.evolve(entry, id=context.reborn, born_ms=2))
 
 
-@when("one tells in its answers that it leaves")
+@when("one announces in its answers that it leaves")
 def step_leaving(context: Any) -> None:
     context.world.leaving = {REPLICAS[0]}
 
 
-@then("no host sends it anything within its rest")
+@then("no host sends it anything during its backoff")
 def step_unrested(context: Any) -> None:
-    got, upstream_id, host = context.world.find_unrested()
+    got, upstream_id, host = context.world.find_backoff_violation()
     assert context.world.backoffs
     assert not got, (got, upstream_id, host)
 
 
-@then("whoever is refused beside a rest is told to come back after it")
+@then("those refused during a backoff get a Retry-After beyond it")
 def step_after_rest(context: Any) -> None:
     world = context.world
     first_s = min(at_s + backoff_s for _, _, at_s, backoff_s in world.backoffs)
     told = [
         (a + waited_s, r.retry_after_s)
         for a, waited_s, r in world.refused
-        # By then each host has been asked by all three.
+        # By then each host has received a backoff from all three.
         if first_s - 1.0 <= a + waited_s < first_s
     ]
     assert told
@@ -316,26 +318,28 @@
     check_share(context, REPLICAS[0], seconds)
 
 
-@then("the new start gets its share")
+@then("the restarted replica gets its share")
 def step_new_share(context: Any) -> None:
     check_share(context, context.reborn, 2.0)
 
 
 def check_share(context: Any, upstream_id: str, seconds: float) -> None:
-    """Checks that one of three gets a sixth or more of all that comes."""
+    """Checks that one of three gets a sixth or more of all requests."""
     world = context.world
     got = world.count_reached(upstream_id, world.now_s - seconds)
     assert got >= 45.0 * seconds / 6, got
 
 
-@then("no host sends it anything later than {bound_s:g} s after it was told")
+@then(
+    "no host sends it anything later than {bound_s:g} s after the announcement"
+)
 def step_left(context: Any, bound_s: float) -> None:
     world = context.world
-    assert world.farewells
-    for (upstream_id, ip), told_s in world.farewells.items():
+    assert world.leaving_s
+    for (upstream_id, ip), known_s in world.leaving_s.items():
         late = [
-            a.at_s - told_s
+            a.at_s - known_s
             for a in world.arrivals[upstream_id]
-            if a.host.ip == ip and a.at_s > told_s + bound_s
+            if a.host.ip == ip and a.at_s > known_s + bound_s
         ]
         assert not late, (upstream_id, ip, late)
