--- a/egretspur/membership/__init__.py
+++ b/egretspur/membership/__init__.py
@@ -1,1 +1,1 @@
-"""What entry hosts tell each other: liveness, marks, demand, offsets."""
+"""State that entry hosts share: liveness, leaving marks, demand, offsets."""
--- a/egretspur/membership/actor.py
+++ b/egretspur/membership/actor.py
@@ -1,9 +1,9 @@
-"""Actor that holds a control daemon's view of its peers and talks to them.
+"""Actor that holds a control daemon's view of its peers and gossips with them.
 
-Pure decisions are in `egretspur.membership.entries`. Urgent entries and new
-configuration offsets are pushed at once to a few peers, which push them on;
-the periodic exchange reaches those the push missed. Both have a fixed number
-of messages of bounded size, however many hosts there are.
+The merge rules are in `egretspur.membership.entries`. Urgent entries and new
+configuration offsets are pushed at once to a few peers, which push them
+further; the periodic exchange reaches the peers that a push missed. Each host
+sends a fixed number of messages of bounded size, however many hosts there are.
 """
 
 from __future__ import annotations
@@ -25,36 +25,36 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Peers that get an urgent push at once.
+# Peers that receive an urgent push directly.
 FAN_OUT: Final = 3
 
-# Peers in other data centres that are known at a time, per data centre.
+# Peers kept as contacts in each other data centre.
 REMOTE_CONTACTS: Final = 3
 
-# Every so many exchanges, one goes to another data centre.
+# One exchange in this many goes to another data centre.
 REMOTE_EVERY: Final = 5
 
-# Seconds a mark of a leaving upstream is kept; far above the platform's lag.
+# Leaving marks are kept far longer than the platform's host list can lag.
 LEAVING_KEPT_S: Final = 3600.0
 
-# Seconds that hosts tell each other of an upstream that ended under a request.
-# Routers remember for as long as they run; this is for those that start.
+# Routers remember crashes for as long as they run; hosts keep the entries for
+# routers that start later.
 ENDED_KEPT_S: Final = 3600.0
 
-# Seconds that hosts tell each other of a limit that an upstream has named.
+# Limits that upstreams reported are passed on for this long.
 LIMIT_KEPT_S: Final = 3600.0
 
-# Between the fingerprint and the start in the name of such an entry.
+# Separates the fingerprint from the upstream's start in a crash entry's name.
 ENDED_MARK: Final = "@"
 
-# Routers are told of an answer to such a request for so long, in seconds: some
-# five exchanges.
+# Routers receive the answer to a request that crashed upstreams for this long,
+# about five exchanges.
 ANSWERED_KEPT_S: Final = 10.0
 
-# Workspaces whose demand a host states at most.
+# Limit on the workspaces whose demand one host publishes.
 DEMANDS_KEPT: Final = 16
 
-# Kinds of entries that cost requests until all hosts have them.
+# Kinds of entries that make requests fail until all hosts have them.
 URGENT: Final = (
     entries.Kind.LEAVING,
     entries.Kind.ENDED,
@@ -64,12 +64,12 @@
 
 @attrs.frozen
 class Tick:
-    """Time for a periodic exchange."""
+    """Starts a periodic exchange."""
 
 
 @attrs.frozen
 class Received:
-    """A message from a peer; answered with one of our own."""
+    """A message from a peer; the actor replies with one of its own."""
 
     message: news.Exchange
     urgent: bool
@@ -77,23 +77,23 @@
 
 @attrs.frozen
 class Answered:
-    """A peer's answer to a message of ours."""
+    """A peer's reply to a message of this host."""
 
     message: news.Exchange
 
 
 @attrs.frozen
 class SetNode:
-    """This host's own news changed."""
+    """This host's own state changed."""
 
     news: news.NodeNews
-    # Whether peers are told at once that there are records to get.
+    # Whether to push the new offset to peers at once.
     is_urgent: bool = False
 
 
 @attrs.frozen
 class AddLeaving:
-    """An upstream said that it is leaving."""
+    """An upstream reported that it is leaving."""
 
     upstream: str
     incarnation: str
@@ -101,21 +101,24 @@
 
 @attrs.frozen
 class SetDemand:
-    """Requests at once per workspace at this host's router."""
+    """Concurrent requests per workspace at this host's router."""
 
     demand: dict[str, int]
 
 
 @attrs.frozen
 class AddEnded:
-    """Upstreams ended under requests, by fingerprint; none: it was answered."""
+    """Upstreams that crashed under requests, by request fingerprint.
+
+    An empty table means that the request was answered.
+    """
 
     ended: dict[str, dict[str, float]]
 
 
 @attrs.frozen
 class AddLimits:
-    """Upstreams named limits, or name none any more, by their start."""
+    """Limits that upstreams set or lifted, by upstream start."""
 
     limits: dict[str, throttle.Told]
 
@@ -143,17 +146,18 @@
 
 @attrs.frozen
 class PeerView:
-    """What this host knows of its data centre."""
+    """This host's view of its data centre."""
 
     nodes: tuple[PeerNode, ...]
-    # Leaving incarnation by upstream name; several may be known.
+    # Leaving incarnations by upstream name.
     leaving: dict[str, tuple[str, ...]]
-    # Requests at once by workspace, at each other host that stated any.
+    # Concurrent requests by workspace, then by the host that reported them;
+    # without this host's own.
     demand: dict[str, dict[str, int]]
-    # Upstreams that ended under requests, as in `AddEnded`.
+    # Upstreams that crashed under requests, as in `AddEnded`.
     ended: dict[str, dict[str, float]]
     limits: dict[str, throttle.Told]
-    # Place of this host among those that follow the log, from 0.
+    # Rank of this host among those that follow the log, from 0.
     rank: int
     # Control addresses in other data centres, by data centre.
     remote: dict[str, tuple[str, ...]]
@@ -164,16 +168,16 @@
 
 @attrs.frozen
 class Events:
-    """What the actor tells the rest of the daemon."""
+    """Callbacks into the rest of the daemon."""
 
-    # A peer has a higher offset: its address and the offset.
+    # A peer has a higher offset; receives its address and the offset.
     peer_ahead: Callable[[str, int], None]
-    # Marks or demand changed.
+    # Entries other than those about hosts changed.
     changed: Callable[[], None]
 
 
 class MembershipActor(actors.Actor):
-    """Holds the view; see the messages above."""
+    """Holds the view and handles the messages above."""
 
     def __init__(
         self,
@@ -203,10 +207,10 @@
         self._news = news.NodeNews(address, node.data_centre, "", 0, 0, False)
         # Control addresses from the platform's list, by data centre.
         self._listed: dict[str, dict[str, str]] = {}
-        self._sender = sender.Sender(self._tell_answered)
+        self._sender = sender.Sender(self._queue_answer)
 
     def on_start(self) -> None:
-        """Starts the threads that send."""
+        """Starts the sender threads."""
         self._sender.start()
 
     def on_stop(self) -> None:
@@ -222,7 +226,7 @@
     def _(self, message: Tick) -> None:
         now = time.monotonic()
         entries.drop_old(self._view, self._ages, now)
-        self._state_self(now)
+        self._publish_self(now)
         self._round += 1
         address = self._choose_partner()
         if address:
@@ -231,7 +235,7 @@
     @handle.register
     def _(self, message: Received) -> news.Exchange:
         now = time.monotonic()
-        self._take(message.message, now)
+        self._merge_message(message.message, now)
         if message.urgent:
             return news.Exchange(
                 self._node.name, self._address, self._news.offset, ()
@@ -240,7 +244,7 @@
 
     @handle.register
     def _(self, message: Answered) -> None:
-        self._take(message.message, time.monotonic())
+        self._merge_message(message.message, time.monotonic())
 
     @handle.register
     def _(self, message: SetNode) -> None:
@@ -254,10 +258,10 @@
         known = self._get_leaving().get(message.upstream, ())
         if message.incarnation in known:
             return
-        entry = self._state(
+        entry = self._publish(
             entries.Kind.LEAVING,
-            # The incarnation is part of the name: a mark of an old one must
-            # not be replaced by, or stand for, that of a later one.
+            # The incarnation is part of the name, so that the marks of an old
+            # and a later incarnation neither replace nor stand for each other.
             f"{message.upstream}@{message.incarnation}",
             message.incarnation,
             now,
@@ -276,43 +280,45 @@
                 age = now - old.since_s
                 if age < self._opts.period_s * 2:
                     continue
-            self._state(entries.Kind.DEMAND, workspace, str(count), now)
+            self._publish(entries.Kind.DEMAND, workspace, str(count), now)
 
     @handle.register
     def _(self, message: AddEnded) -> None:
-        known = self._get_ended()
-        stated: list[entries.Entry] = []
-        for fingerprint, ends in message.ended.items():
+        known = self._get_crashes()
+        published: list[entries.Entry] = []
+        for fingerprint, crashes in message.ended.items():
             if known.get(fingerprint) == {}:
-                # A router that has yet to hear of the answer tells of the
-                # ends before it.
+                # A router that has not received the answer yet still reports
+                # the crashes before it.
                 continue
-            if not ends:
-                stated.append(self._state_ended(fingerprint, "", 0.0))
+            if not crashes:
+                published.append(self._publish_crash(fingerprint, "", 0.0))
                 continue
-            for start, weight in ends.items():
+            for start, weight in crashes.items():
                 if known.get(fingerprint, {}).get(start, 0.0) < weight:
-                    stated.append(self._state_ended(fingerprint, start, weight))
-        if stated:
-            self._push(tuple(entries.Told(e, 0.0) for e in stated))
+                    published.append(
+                        self._publish_crash(fingerprint, start, weight)
+                    )
+        if published:
+            self._push(tuple(entries.Told(e, 0.0) for e in published))
             self._events.changed()
 
     @handle.register
     def _(self, message: AddLimits) -> None:
         known = self._get_limits()
         now_s = time.monotonic()
-        stated = []
-        for start, told in message.limits.items():
+        published = []
+        for start, limit in message.limits.items():
             old = known.get(start)
             if old is not None and (
-                old.per_s == told.per_s or old.age_s <= told.age_s
+                old.per_s == limit.per_s or old.age_s <= limit.age_s
             ):
                 continue
-            value = "" if told.per_s is None else str(told.per_s)
-            entry = self._state(entries.Kind.LIMIT, start, value, now_s)
-            stated.append(entries.Told(entry, 0.0))
-        if stated:
-            self._push(tuple(stated))
+            value = "" if limit.per_s is None else str(limit.per_s)
+            entry = self._publish(entries.Kind.LIMIT, start, value, now_s)
+            published.append(entries.Told(entry, 0.0))
+        if published:
+            self._push(tuple(published))
             self._events.changed()
 
     @handle.register
@@ -335,7 +341,7 @@
 
     @handle.register
     def _(self, message: GetView) -> PeerView:
-        nodes = self._get_nodes()
+        nodes = self._get_local_nodes()
         demand: dict[str, dict[str, int]] = {}
         for entry in entries.find(self._view, entries.Kind.DEMAND):
             if entry.origin != self._node.name:
@@ -346,7 +352,7 @@
             tuple(nodes),
             self._get_leaving(),
             demand,
-            self._get_ended(),
+            self._get_crashes(),
             self._get_limits(),
             compute_rank(self._node.name, [n.name for n in nodes]),
             {
@@ -358,7 +364,7 @@
             self._sender.received_bytes,
         )
 
-    def _take(self, message: news.Exchange, now_s: float) -> None:
+    def _merge_message(self, message: news.Exchange, now_s: float) -> None:
         fresh = entries.merge(self._view, message.told, self._ages, now_s)
         urgent = [e for e in fresh if e.kind in URGENT]
         if urgent:
@@ -368,11 +374,11 @@
         if message.offset > self._news.offset:
             self._events.peer_ahead(message.address, message.offset)
 
-    def _state_self(self, now_s: float) -> None:
+    def _publish_self(self, now_s: float) -> None:
         value = news.pack_node(self._news)
-        self._state(entries.Kind.NODE, self._node.name, value, now_s)
+        self._publish(entries.Kind.NODE, self._node.name, value, now_s)
 
-    def _state(
+    def _publish(
         self, kind: entries.Kind, name: str, value: str, now_s: float
     ) -> entries.Entry:
         self._sequence += 1
@@ -384,14 +390,14 @@
             self._sequence,
             value,
         )
-        told = entries.Told(entry, 0.0)
-        entries.merge(self._view, [told], self._ages, now_s)
+        item = entries.Told(entry, 0.0)
+        entries.merge(self._view, [item], self._ages, now_s)
         return entry
 
     def _make_message(self, now_s: float) -> news.Exchange:
-        told = entries.choose(self._view, self._opts.entries, now_s)
+        chosen = entries.choose(self._view, self._opts.entries, now_s)
         return news.Exchange(
-            self._node.name, self._address, self._news.offset, tuple(told)
+            self._node.name, self._address, self._news.offset, tuple(chosen)
         )
 
     def _choose_partner(self) -> str:
@@ -408,33 +414,33 @@
             return self._random.choice(remote) if remote else ""
         return self._random.choice(local)
 
-    def _push(self, told: tuple[entries.Told, ...]) -> None:
+    def _push(self, items: tuple[entries.Told, ...]) -> None:
         message = news.Exchange(
-            self._node.name, self._address, self._news.offset, told
+            self._node.name, self._address, self._news.offset, items
         )
         local = self._get_local_addresses()
         for address in self._random.sample(local, min(FAN_OUT, len(local))):
             self._send(address, "/peer/push", message)
 
     def _send(self, address: str, path: str, message: news.Exchange) -> None:
-        self._sender.send(sender.Parcel(address, path, message))
+        self._sender.send(sender.OutgoingMessage(address, path, message))
 
-    def _tell_answered(self, message: news.Exchange) -> None:
+    def _queue_answer(self, message: news.Exchange) -> None:
         self.actor_ref.tell(Answered(message))
 
     def _get_local_addresses(self) -> list[str]:
         found = dict(self._listed.get(self._node.data_centre, {}))
-        for node in self._get_nodes():
+        for node in self._get_local_nodes():
             if node.name != self._node.name:
                 found[node.name] = node.news.control
         return sorted(set(found.values()))
 
-    def _get_nodes(self) -> list[PeerNode]:
+    def _get_local_nodes(self) -> list[PeerNode]:
         nodes = []
         for entry in entries.find(self._view, entries.Kind.NODE):
-            said = news.unpack_node(entry.value)
-            if said.data_centre == self._node.data_centre:
-                nodes.append(PeerNode(entry.name, entry.incarnation, said))
+            state = news.unpack_node(entry.value)
+            if state.data_centre == self._node.data_centre:
+                nodes.append(PeerNode(entry.name, entry.incarnation, state))
         return nodes
 
     def _get_leaving(self) -> dict[str, tuple[str, ...]]:
@@ -444,11 +450,11 @@
             found.setdefault(name, set()).add(entry.value)
         return {n: tuple(sorted(i)) for n, i in found.items()}
 
-    def _state_ended(
+    def _publish_crash(
         self, fingerprint: str, start: str, weight: float
     ) -> entries.Entry:
-        """States that an upstream ended under a request, or its answer."""
-        return self._state(
+        """Publishes a crash under a request or, with no start, its answer."""
+        return self._publish(
             entries.Kind.ENDED,
             f"{fingerprint}{ENDED_MARK}{start}",
             str(weight),
@@ -456,7 +462,7 @@
         )
 
     def _get_limits(self) -> dict[str, throttle.Told]:
-        """Returns what each start of an upstream named last, of any host."""
+        """Returns the latest limit of each upstream start, from any host."""
         now_s = time.monotonic()
         known = [
             k
@@ -471,8 +477,8 @@
             for k in sorted(known, key=lambda k: k.since_s)
         }
 
-    def _get_ended(self) -> dict[str, dict[str, float]]:
-        """Returns upstreams that ended under requests since their answers."""
+    def _get_crashes(self) -> dict[str, dict[str, float]]:
+        """Returns upstreams that crashed under requests since their answers."""
         now_s = time.monotonic()
         known = [
             k
@@ -480,25 +486,26 @@
             if k.entry.kind is entries.Kind.ENDED
         ]
         found: dict[str, dict[str, float]] = {}
-        # By time, so that an answer takes back the ends before it.
+        # In order of time, so that an answer clears the crashes before it.
         for item in sorted(known, key=lambda k: k.since_s):
             fingerprint, _, start = item.entry.name.partition(ENDED_MARK)
             if start:
-                ends = found.setdefault(fingerprint, {})
-                ends[start] = float(item.entry.value)
+                crashes = found.setdefault(fingerprint, {})
+                crashes[start] = float(item.entry.value)
             elif now_s - item.since_s < ANSWERED_KEPT_S:
                 found[fingerprint] = {}
             else:
-                # Told again later, it would take back ends that are newer.
+                # Passing the answer on later would clear newer crashes.
                 found.pop(fingerprint, None)
         return found
 
 
 def compute_rank(name: str, names: list[str]) -> int:
-    """Returns a host's place among hosts, in an order all agree on.
+    """Returns a host's rank in an order that all hosts agree on.
 
-    By hash, so that no host is set aside: the first few follow the log, and
-    when one of them goes the next in order takes its place.
+    Hosts are ordered by the hash of their name, so that none needs to be
+    appointed: the first few follow the log, and when one of them leaves, the
+    next in order takes its place.
     """
     mine = hashlib.sha256(name.encode()).digest()
     return sum(
--- a/egretspur/membership/datagrams.py
+++ b/egretspur/membership/datagrams.py
@@ -1,7 +1,7 @@
-"""What a host tells the others, as a datagram.
+"""Encoding of a host's peer update as a datagram.
 
-Lists without field names, since it must fit into one packet. A datagram may
-come from anyone: whatever is of another type is refused with the reason.
+A datagram is a list without field names, so that it fits into one packet. It
+may come from any sender: a field of the wrong type is refused with the reason.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from egretspur.catalog import reading, upstreams
 from egretspur.routing import jobs
 
-# Upstreams in one datagram; it must fit into one packet.
+# Limit on upstreams in one datagram, so that it fits into one packet.
 MAX_ENTRIES: Final = 40
 
-# Failing upstreams in one datagram: a third of a data centre's, for the same
-# reason.
+# Limit on failing upstreams in one datagram, for the same reason; a third of a
+# data centre's upstreams.
 MAX_SUSPECTS: Final = 24
 
-# Requests in quarantine, or under which upstreams ended, in one datagram: with
-# an end each 0.6 kB, for the same reason.
+# Limit on requests in one datagram that are quarantined or crashed upstreams,
+# for the same reason: 0.6 kB with one crash each.
 MAX_ENDED: Final = 16
 
-# Hosts whose last datagram is kept; a host hears those of its data centre and
-# the speakers of the others.
+# Limit on hosts whose last datagram is cached. A host receives datagrams from
+# its data centre and from the speakers of the others.
 KEPT_HOSTS: Final = 512
 
 V = TypeVar("V")
@@ -39,50 +39,54 @@
 
 @attrs.frozen
 class News:
-    """What a host tells the others."""
+    """State of a host that it sends to the others."""
 
-    # Its address.
+    # Address of the sending host.
     host: str
     data_centre: str
-    # Seconds since the store last answered it.
+    # Seconds since the store last answered the host.
     store_age_s: float
-    # What it has read of the store's topics.
+    # Versions that the host has read from the store's topics.
     known: reading.Known
     usage: Mapping[str, jobs.Usage]
-    # Engines that run slower than their kind.
+    # Pace of engines that run slower than others of their kind.
     pace: Mapping[str, float]
-    # Upstreams it found dead.
+    # Upstreams that the host found dead.
     dead: tuple[str, ...]
-    # Layers that engines reported to it after its orders.
+    # Layers that engines reported to the host after its orders.
     layers: Mapping[str, upstreams.AgedLayers]
-    # Hosts it hears, with their data centres; in some datagrams only.
+    # Data centres of the hosts from which it receives datagrams; sent only in
+    # some datagrams.
     peers: Mapping[str, str]
-    # Request memory in use beyond what the hosts count, by engine.
+    # Key-value cache in use beyond what the hosts count, by engine.
     excess: Mapping[str, float] = attrs.Factory(dict)
-    # Upstreams that it finds failing; no more than `MAX_SUSPECTS`.
+    # Upstreams that the host finds failing, up to `MAX_SUSPECTS`.
     suspects: tuple[str, ...] = ()
-    # What it spent of the retry budgets, by service.
+    # Part of the retry budgets that the host spent, by service.
     spent: Mapping[str, shared.Spent] = attrs.Factory(dict)
-    # Upstreams that ended under requests, by fingerprint; none where it was
-    # answered. No more than `MAX_ENDED`.
+    # Upstreams that crashed under requests, by request fingerprint; empty for
+    # an answered request. Up to `MAX_ENDED`.
     ended: Mapping[str, quarantine.Ends] = attrs.Factory(dict)
-    # It has heard others for less than a window of the retry budget, and does
-    # not know what was spent before.
+    # The host has received updates for less than a window of the retry budget
+    # and does not know what was spent before.
     is_new: bool = False
-    # Limits that upstreams named, or name no more, whoever had the answer.
+    # Limits that upstreams set or lifted, whichever host received the answer.
     limits: Mapping[str, throttle.Told] = attrs.Factory(dict)
 
 
 @attrs.frozen
 class NotNews:
-    """Why a datagram holds no news."""
+    """Reason why a datagram is not a valid peer update."""
 
     field: str
     problem: str
 
 
 def encode_news(news: News) -> bytes:
-    """Returns a datagram."""
+    """Returns the datagram for an update.
+
+    Only the `MAX_ENTRIES` engines that use most memory are included.
+    """
     rows = sorted(news.usage.items(), key=lambda i: -i[1].room)[:MAX_ENTRIES]
     return orjson.dumps(
         [
@@ -125,22 +129,26 @@
 
 
 class Decoder:
-    """Reads datagrams of many hosts.
+    """Decodes the datagrams of many hosts.
 
-    A host tells its whole state several times a second, most of it as it told
-    it last: a part that is the same is not read again.
+    A host sends its whole state several times a second, and most fields do not
+    change between two datagrams: an unchanged field is not decoded again.
     """
 
     def __init__(self) -> None:
-        # What each host told last, by its address; the longest silent first.
-        self._last: dict[str, _Told] = {}
+        # Last datagram of each host, by address; the longest silent host first.
+        self._last: dict[str, _LastDatagram] = {}
 
     def decode(self, data: bytes) -> News | NotNews:
-        """Returns the news in a datagram, or why it holds none."""
+        """Returns the update in a datagram, or why it is refused."""
         try:
-            row = checks.check_row(codec.load_json(data), "news", len(_PARTS))
+            row = checks.check_row(
+                codec.load_json(data), "news", len(_FIELD_DECODERS)
+            )
             host = _check_host(row[0])
-            told = _decode_parts(row, self._last.pop(host, _NOTHING_TOLD))
+            told = _decode_changed_fields(
+                row, self._last.pop(host, _NO_DATAGRAM)
+            )
         except checks.FieldError as exc:
             return NotNews(exc.field, str(exc))
         except codec.DecodeError as exc:
@@ -148,28 +156,30 @@
         if len(self._last) >= KEPT_HOSTS:
             del self._last[next(iter(self._last))]
         self._last[host] = told
-        return News(*told.parts)
+        return News(*told.decoded)
 
 
 @attrs.frozen(eq=False)
-class _Told:
+class _LastDatagram:
     """A host's last datagram."""
 
-    # Its list as it came.
+    # The list as received.
     row: list[Any]
-    # The fields of `News` read from it.
-    parts: list[Any]
+    # The fields of `News` decoded from it.
+    decoded: list[Any]
 
 
-def _decode_parts(row: list[Any], last: _Told) -> _Told:
-    """Reads those parts of a datagram that differ from the host's last one."""
+def _decode_changed_fields(
+    row: list[Any], last: _LastDatagram
+) -> _LastDatagram:
+    """Decodes the fields that differ from the host's last datagram."""
     parts = [
         part if value == known else decode(value)
         for decode, value, known, part in zip(
-            _PARTS, row, last.row, last.parts, strict=True
+            _FIELD_DECODERS, row, last.row, last.decoded, strict=True
         )
     ]
-    return _Told(row, parts)
+    return _LastDatagram(row, parts)
 
 
 def _decode_known(value: Any) -> reading.Known:
@@ -212,9 +222,9 @@
 
 
 def _decode_usage(value: Any) -> dict[str, jobs.Usage]:
-    """Returns what is in flight by engine.
+    """Returns the requests in flight by engine.
 
-    Dozens stand in each datagram, and a hundred and fifty datagrams come in a
+    A datagram has dozens of rows, and a hundred and fifty datagrams arrive per
     second, so this is one plain loop.
     """
     usage: dict[str, jobs.Usage] = {}
@@ -250,7 +260,7 @@
 
 
 def decode_ends(value: Any) -> dict[str, float]:
-    """Returns upstreams that ended under a request, with what each counts."""
+    """Returns upstreams that crashed under a request, with their weights."""
     return {
         checks.check_text(n, "ended"): checks.check_number(w, "ended")
         for n, w in _get_items(value, "ended")
@@ -275,15 +285,15 @@
         raise checks.FieldError("host", str(exc)) from exc
 
 
-# A host hears some hundred others several times a second.
+# A host receives datagrams from about a hundred others several times a second.
 @functools.lru_cache(maxsize=1024)
 def parse_address(host: str) -> ipaddress.IPv4Address:
     """Returns an address, which sorts as a number; may raise ValueError."""
     return ipaddress.IPv4Address(host)
 
 
-# How each field of `News` is read from its place in a datagram.
-_PARTS: Final[tuple[Callable[[Any], Any], ...]] = (
+# Decoders of the fields of `News`, in their order in a datagram.
+_FIELD_DECODERS: Final[tuple[Callable[[Any], Any], ...]] = (
     _check_host,
     functools.partial(checks.check_text, field="data_centre"),
     functools.partial(checks.check_number, field="store_age"),
@@ -301,5 +311,7 @@
     functools.partial(_decode_table, field="limits", decode=_decode_limit),
 )
 
-# Of a host that has told nothing yet: what is equal to no value.
-_NOTHING_TOLD: Final = _Told([object()] * len(_PARTS), [None] * len(_PARTS))
+# Stands for the last datagram of a new host: its objects equal no value.
+_NO_DATAGRAM: Final = _LastDatagram(
+    [object()] * len(_FIELD_DECODERS), [None] * len(_FIELD_DECODERS)
+)
--- a/egretspur/membership/sender.py
+++ b/egretspur/membership/sender.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class Parcel:
+class OutgoingMessage:
     """A message for a peer."""
 
     address: str
@@ -38,10 +38,12 @@
 class Sender:
     """Sends messages and hands the answers on."""
 
-    def __init__(self, answered: Callable[[news.Exchange], None]) -> None:
-        self._answered = answered
+    def __init__(self, on_answer: Callable[[news.Exchange], None]) -> None:
+        self._on_answer = on_answer
         self._transport = transport.Transport(0.5, 1.0)
-        self._queue: queue.Queue[Parcel | None] = queue.Queue(QUEUE_LENGTH)
+        self._queue: queue.Queue[OutgoingMessage | None] = queue.Queue(
+            QUEUE_LENGTH
+        )
         self._threads = [
             threading.Thread(target=self._run, name="peers", daemon=True)
             for _ in range(THREADS)
@@ -64,7 +66,7 @@
                 break
         self._transport.close()
 
-    def send(self, parcel: Parcel) -> None:
+    def send(self, parcel: OutgoingMessage) -> None:
         """Queues a message; drops it if too many wait."""
         try:
             self._queue.put_nowait(parcel)
@@ -76,9 +78,9 @@
             parcel = self._queue.get()
             if parcel is None:
                 return
-            self._carry(parcel)
+            self._deliver(parcel)
 
-    def _carry(self, parcel: Parcel) -> None:
+    def _deliver(self, parcel: OutgoingMessage) -> None:
         data = news.pack_exchange(parcel.message)
         res = self._transport.call("POST", parcel.address, parcel.path, data)
         self.sent_bytes += len(data)
@@ -87,6 +89,6 @@
             return
         self.received_bytes += len(res.body)
         try:
-            self._answered(news.unpack_exchange(res.body))
+            self._on_answer(news.unpack_exchange(res.body))
         except codec.DecodeError as exc:
             _LOG.warning("peer's answer is malformed: %s", exc)
