--- a/egretspur/membership/duty.py
+++ b/egretspur/membership/duty.py
@@ -1,10 +1,10 @@
-"""Which host of a data centre gives orders: a lease, counted carefully.
+"""Lease that decides which host of a data centre gives orders.
 
-The store deals the duty to one member of a group at a time and takes it back
-when the member has been silent for the lease's length. The holder counts from
-before it asked, on its monotonic clock, and stops a margin early: an answer
-that was under way for long, or a pause of the process, then costs time and
-never gives two holders.
+The store grants the duty to one member of a group at a time and revokes it when
+the member has been silent for the lease's length. The holder measures the lease
+from before it sent the join, on its monotonic clock, and stops a margin early:
+a slow answer or a pause of the process then shortens the lease but never leads
+to two holders.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from egretspur import decisions, guard
 from egretspur.catalog import feeds
 
-# Length of the lease; a crashed holder's duty passes on after it.
+# A crashed holder's duty passes to another host after this time.
 LEASE_S: Final = 3.0
 
-# The holder stops so long before the lease's end: an order it has just begun
-# to send must have arrived by then.
+# The holder stops this long before the lease ends, so that an order that it has
+# just begun to send arrives within the lease.
 MARGIN_S: Final = 0.7
 
-# A host stands in for the holder when the store has been silent for so long.
+# A deputy replaces the holder after the store has been silent for this time.
 DEPUTY_AFTER_S: Final = LEASE_S + 0.2
 
-# Seconds between two joins; two may be lost before the lease lapses.
+# Seconds between two joins; two may be lost before the lease expires.
 PERIOD_S: Final = 0.9
 
 
@@ -40,7 +40,7 @@
 
     is_held: bool
     generation: int
-    # Of the store that answered; see `egretspur.catalog.positions`.
+    # Era of the store that answered; see `egretspur.catalog.positions`.
     era: int = 0
 
 
@@ -48,32 +48,34 @@
     """A group of the store in which one member has the duty."""
 
     def join(self, ttl_s: float) -> Held | feeds.Unavailable:
-        """Joins, or stays in."""
+        """Joins the group, or renews the membership."""
 
     def leave(self) -> None:
-        """Gives the duty up."""
+        """Leaves the group and gives up the duty."""
 
     def get_era(self) -> int:
         """Returns the newest era of the store that this host has seen."""
 
     def list_members(self) -> tuple[str, ...] | feeds.Unavailable:
-        """Returns the members that have any part of the duty topic."""
+        """Returns the members that own a part of the duty topic."""
 
 
 class Members:
-    """The hosts of a data centre as the store knows them at a host's start.
+    """The hosts of a data centre that the store lists when this host starts.
 
-    Those that ask for the duty: they were there before, and have what a host
-    needs to serve. Asked for once; later hosts hear of each other.
+    These are the hosts that ask for the duty: they started earlier and have
+    what a host needs to serve. The list is read once; hosts that start later
+    learn of each other through peer updates.
     """
 
     def __init__(self, group: Group, me: str, rng: random.Random) -> None:
-        """Makes a list that is read when it is first asked for.
+        """Makes a list that is read on first use.
 
         Args:
-            group: Of the duty.
+            group: Group of the duty.
             me: This host's address.
-            rng: Has starting hosts ask different ones first.
+            rng: Shuffles the list, so that starting hosts ask different hosts
+                first.
         """
         self._group = group
         self._me = me
@@ -82,7 +84,7 @@
         self._hosts: list[str] | None = None
 
     def list_hosts(self) -> list[str]:
-        """Returns the other hosts; none if the store does not answer."""
+        """Returns the other hosts; empty if the store does not answer."""
         with self._lock:
             if self._hosts is None:
                 found = self._group.list_members()
@@ -95,74 +97,76 @@
 
 @attrs.define
 class Lease:
-    """From when to when this host may act."""
+    """Period in which this host may give orders."""
 
     until_s: float = 0.0
     generation: int = 0
-    # Of the store that dealt it; None before the first answer.
+    # Era of the store that granted it; None before the first answer.
     era: int | None = None
-    # Not before then, even if the store says so.
+    # Start of the period; later than the store's grant after a restore.
     from_s: float = 0.0
 
     def note(self, held: Held, asked_s: float) -> bool:
-        """Takes an answer to a join sent at `asked_s`; True on a change."""
+        """Applies the answer to a join sent at `asked_s`; True on a change."""
         if self.era not in (None, held.era):
-            self._note_copy(asked_s)
+            self._delay_after_restore(asked_s)
         self.era = held.era
         before = self.until_s > 0
         self.until_s = asked_s + LEASE_S - MARGIN_S if held.is_held else 0.0
         self.generation = held.generation
         return before != held.is_held
 
-    def _note_copy(self, asked_s: float) -> None:
-        """Waits out whoever held the duty before the store's copy.
+    def _delay_after_restore(self, asked_s: float) -> None:
+        """Waits for the lease of a holder that a restored store has lost.
 
-        The copy may not know that the duty was dealt to another host since,
-        which acts until it hears of the copy or its lease ends. Who acts
-        itself until then knows that nobody else does.
+        A store restored from a copy may not know that the duty was granted to
+        another host after the copy was made. That host gives orders until it
+        sees the new era or its lease ends. A host that holds the duty itself
+        need not wait, since no other host can hold it.
         """
         if asked_s >= self.until_s:
             self.from_s = asked_s + LEASE_S
 
     def is_held(self, now_s: float, era: int) -> bool:
-        """Tells whether orders may be sent now.
+        """Returns whether orders may be sent now.
 
         Args:
             now_s: Monotonic time.
-            era: Newest one of the store that is known. What was dealt before
-                a copy counts no longer, until this host has joined again.
+            era: Newest known era of the store. A lease granted before the
+                store was restored is invalid until this host has joined again.
         """
         return self.era == era and self.from_s <= now_s < self.until_s
 
 
 class Peers(Protocol):
-    """The other hosts, as far as the duty needs them."""
+    """View of the other hosts that the duty needs."""
 
     def note_members(self, hosts: tuple[str, ...]) -> None:
-        """Told who is in the group, each time that changes."""
+        """Receives the members of the group each time that they change."""
 
     def is_alone(self) -> bool:
-        """Tells whether no host near by was heard of late."""
+        """Returns whether no local host has sent an update recently."""
 
     def is_candidate(self) -> bool:
-        """Tells whether this host is one of those that may have the duty."""
+        """Returns whether this host is one of those that may hold the duty."""
 
     def is_first_cut_off(self) -> bool:
-        """Tells whether no host near by reaches the store, and this is first.
+        """Returns whether this is the first host while none reaches the store.
 
-        First is the host with the lowest address of those that hear each
-        other.
+        That is the host with the lowest address among the hosts of its data
+        centre that receive each other's updates.
         """
 
 
 class Duty:
-    """Keeps this host in the group and its lease up to date.
-
-    While no host of a data centre reaches the store, one of them stands in.
-    Two might, if they don't hear each other; an order names the number of
-    orders its engine has begun, so of two only one is taken, and the next
-    round mends what doesn't fit together. A leader chosen among the hosts
-    would cost a protocol and be no safer.
+    """Keeps this host in the group and renews its lease.
+
+    While no host of a data centre reaches the store, one of them acts as
+    deputy. Two hosts that don't receive each other's updates may both do so. An
+    order names the number of orders that its engine has begun, so the engine
+    accepts only one of two, and the next round corrects what doesn't fit
+    together. Electing a leader among the hosts would need a protocol and be no
+    safer.
     """
 
     def __init__(
@@ -174,18 +178,18 @@
         """Makes a member.
 
         Args:
-            group: Where the duty is dealt.
-            peers: The other hosts.
+            group: Group in which the store grants the duty.
+            peers: View of the other hosts.
             clock: Monotonic time, in seconds.
         """
         self.group = group
         self._clock = clock
         self._peers = peers
-        # When the store last answered.
+        # Time of the store's last answer.
         self._answered_s = clock()
         self._is_deputy = False
-        # Generation of which the members were read.
-        self._listed = -1
+        # Generation whose members were read last.
+        self._listed_generation = -1
         self._lease = Lease()
         self._stop = threading.Event()
         self._thread = threading.Thread(
@@ -193,25 +197,25 @@
         )
 
     def start(self) -> None:
-        """Starts to join."""
+        """Starts the thread that joins the group."""
         self._thread.start()
 
     def close(self) -> None:
-        """Gives the duty up."""
+        """Stops joining and gives up the duty."""
         self._stop.set()
-        held = self._is_dealt()
+        held = self._is_granted()
         self._lease.until_s = 0.0
         if held:
             self.group.leave()
 
     def is_held(self) -> bool:
-        """Tells whether this host may give orders now."""
+        """Returns whether this host may give orders now."""
         now_s = self._clock()
         if self._stop.is_set():
             return False
-        if self._is_dealt():
+        if self._is_granted():
             return True
-        # Any lease given out before the store went away has lapsed by then.
+        # Any lease granted before the store went away has expired by then.
         is_away = now_s - self._answered_s > DEPUTY_AFTER_S
         is_deputy = is_away and self._peers.is_first_cut_off()
         if is_deputy != self._is_deputy:
@@ -224,8 +228,8 @@
                 decisions.record(decisions.DutyEnded("no longer deputy"))
         return is_deputy
 
-    def _is_dealt(self) -> bool:
-        """Tells whether the store has dealt this host the duty."""
+    def _is_granted(self) -> bool:
+        """Returns whether this host has a valid lease from the store."""
         return self._lease.is_held(self._clock(), self.group.get_era())
 
     def _run(self) -> None:
@@ -235,10 +239,10 @@
             self._stop.wait(PERIOD_S)
 
     def join(self) -> None:
-        """Joins once, or stays, and takes the answer."""
+        """Joins the group once and applies the answer."""
         asked_s = self._clock()
         if not self._peers.is_candidate():
-            self._step_back(asked_s)
+            self._yield_duty(asked_s)
             return
         res = self.group.join(LEASE_S)
         if isinstance(res, feeds.Unavailable):
@@ -246,20 +250,24 @@
         self._answered_s = self._clock()
         if self._lease.note(res, asked_s):
             _record(res)
-        if res.generation == self._listed or not self._peers.is_alone():
-            # Hosts that hear each other need no list; were each to read it
-            # at each change, calls would grow with the square of the hosts.
+        if (
+            res.generation == self._listed_generation
+            or not self._peers.is_alone()
+        ):
+            # Hosts that receive each other's updates need no list. If each
+            # read it at each change, calls would grow with the square of the
+            # hosts.
             return
         members = self.group.list_members()
         if not isinstance(members, feeds.Unavailable):
-            self._listed = res.generation
+            self._listed_generation = res.generation
             self._peers.note_members(members)
 
-    def _step_back(self, now_s: float) -> None:
-        """Leaves the duty to hosts that come before this one."""
-        # Nothing was asked of the store, so it is not away.
+    def _yield_duty(self, now_s: float) -> None:
+        """Leaves the duty to hosts with lower addresses."""
+        # The store was not asked, so its silence doesn't count.
         self._answered_s = now_s
-        if self._is_dealt():
+        if self._is_granted():
             self._lease.until_s = 0.0
             decisions.record(decisions.DutyEnded("others come first"))
             self.group.leave()
--- a/egretspur/membership/entries.py
+++ b/egretspur/membership/entries.py
@@ -1,12 +1,11 @@
-"""Versioned entries that entry hosts pass on to each other: pure.
-
-One mechanism carries five things: that a host lives, that an upstream is
-leaving, how much of a workspace's limit a host needs, that an upstream ended
-under a request, and what limit one has named. Each entry belongs to an origin
-and has that origin's incarnation and a sequence number; the larger pair wins,
-whatever the order of arrival. A message carries a bounded number of entries, so
-that its size does not depend on how many hosts there are; those passed on least
-often go first.
+"""Versioned entries that entry hosts gossip; pure functions without I/O.
+
+Entries are of five kinds: a host is alive, an upstream is leaving, a host needs
+part of a workspace's limit, an upstream crashed under a request, an upstream
+set a rate limit. Each entry has an origin, the origin's incarnation and a
+sequence number; the larger pair of these wins, in whatever order entries
+arrive. A message carries a bounded number of entries, so its size does not
+depend on the number of hosts; entries that were sent least often go first.
 """
 
 from __future__ import annotations
@@ -18,26 +17,27 @@
 
 import attrs
 
-# How often an entry is passed on before a host keeps it to itself. With one
-# message each a round, log2(n) rounds reach nearly all of n hosts; this is
-# enough for about 4,000 in one data centre.
+# A host sends each entry at most this often. With one message per host and
+# round, log2(n) rounds reach nearly all of n hosts; this is enough for about
+# 4,000 hosts in one data centre.
 PASS_ON: Final = 12
 
 
 class Kind(enum.Enum):
-    """What an entry is about."""
+    """Kind of an entry; determines its name and value."""
 
     # An entry host is alive; value: `egretspur.membership.news.NodeNews`.
     NODE = "n"
     # An incarnation of an upstream is leaving; value: the incarnation.
     LEAVING = "l"
-    # A workspace's demand at the origin; value: requests at once.
+    # A workspace's demand at the origin; value: concurrent requests.
     DEMAND = "d"
-    # An upstream ended under a request, named by fingerprint and start; value:
-    # what it counts. With no start: the request was answered.
+    # An upstream crashed under a request, named by the request's fingerprint
+    # and the upstream's start; value: its weight. With no start, the request
+    # was answered.
     ENDED = "e"
-    # A start of an upstream named a limit; value: requests a second, or nothing
-    # where it names none any more.
+    # An upstream, named by its start, set a rate limit; value: requests per
+    # second, or empty when it lifted the limit.
     LIMIT = "r"
 
 
@@ -46,73 +46,73 @@
 
 @attrs.frozen
 class Entry:
-    """One fact from one origin."""
+    """One fact that one origin published."""
 
     kind: Kind
-    # Host name, upstream name, or workspace.
+    # What the entry is about; see `Kind`.
     name: str
-    # Entry host that states it.
+    # Entry host that published it.
     origin: str
-    # Start time of the origin in milliseconds; a replaced host that took over
-    # the address is another incarnation and wins over its predecessor.
+    # Start time of the origin in milliseconds. A replacement host with the same
+    # address is a new incarnation and wins over its predecessor.
     incarnation: int
     sequence: int
     value: str
 
     @property
     def key(self) -> Key:
-        """Identity: a newer entry with this key replaces an older one."""
+        """Key under which a newer entry replaces an older one."""
         return self.kind, self.name, self.origin
 
     @property
     def version(self) -> tuple[int, int]:
-        """Order among entries of one key."""
+        """Version that orders the entries of one key."""
         return self.incarnation, self.sequence
 
 
 @attrs.frozen
 class Told:
-    """An entry in a message, with its age."""
+    """An entry with its age, as sent in a message."""
 
     entry: Entry
-    # Seconds since the origin stated it. Were it left out, an entry of a dead
-    # host would be young again at each receiver and go round for ever.
+    # Seconds since the origin published it. Without the age, an entry of a dead
+    # host would look new to each receiver and circulate for ever.
     age_s: float
 
 
 @attrs.define
 class Known:
-    """An entry as one host knows it."""
+    """An entry in the view of one host."""
 
     entry: Entry
-    # Monotonic time at which the origin stated it.
+    # Monotonic time at which the origin published it.
     since_s: float
-    # Times it was put into a message.
+    # Number of messages in which this host sent it.
     passed: int = 0
 
 
 @attrs.define
 class View:
-    """All entries known to one host."""
+    """All entries that one host has."""
 
     known: dict[Key, Known] = attrs.Factory(dict)
 
 
 @attrs.frozen
 class Ages:
-    """Ages in seconds past which entries are forgotten."""
+    """Retention of each kind of entry, in seconds."""
 
     node_s: float
-    # Longer than the platform's list can lag, so that a leaving upstream does
-    # not come back before its next incarnation.
+    # Longer than the platform's list can lag, so that a leaving upstream is not
+    # used again before its next incarnation.
     leaving_s: float
     demand_s: float
-    # As long as a request is remembered that ended upstreams.
+    # As long as routers remember a request that crashed upstreams.
     ended_s: float
     limit_s: float
 
     def get_limit(self, kind: Kind) -> float:
-        """Returns the age past which an entry of a kind is forgotten."""
+        """Returns the age beyond which an entry of a kind is dropped."""
         return {
             Kind.NODE: self.node_s,
             Kind.LEAVING: self.leaving_s,
@@ -125,10 +125,10 @@
 def merge(
     view: View, told: Iterable[Told], ages: Ages, now_s: float
 ) -> list[Entry]:
-    """Takes entries from a message.
+    """Merges the entries of a message into a view.
 
     Returns:
-        Those that were new.
+        The entries that were new or newer than those in the view.
     """
     fresh = []
     for item in told:
@@ -144,7 +144,7 @@
 
 
 def choose(view: View, count: int, now_s: float) -> list[Told]:
-    """Returns the entries for the next message, least passed on first."""
+    """Returns the entries for the next message, least often sent first."""
     best = heapq.nsmallest(
         count,
         (k for k in view.known.values() if k.passed < PASS_ON),
@@ -156,7 +156,7 @@
 
 
 def drop_old(view: View, ages: Ages, now_s: float) -> list[Entry]:
-    """Forgets entries whose origin went quiet.
+    """Drops entries that their origin has not renewed within their retention.
 
     Returns:
         The node entries that were dropped.
@@ -172,6 +172,6 @@
 
 
 def find(view: View, kind: Kind) -> list[Entry]:
-    """Returns all entries of a kind, by name and origin."""
+    """Returns all entries of a kind, sorted by name and origin."""
     found = [k.entry for k in view.known.values() if k.entry.kind is kind]
     return sorted(found, key=lambda e: (e.name, e.origin))
--- a/egretspur/membership/news.py
+++ b/egretspur/membership/news.py
@@ -1,7 +1,7 @@
-"""Messages between control daemons, and their compact JSON form.
+"""Gossip messages between control daemons and their compact JSON encoding.
 
-Entries are written as lists without field names: at 24 entries a message the
-names would be two thirds of the bytes.
+Entries are encoded as lists without field names: with 24 entries in a message,
+the names would be two thirds of the bytes.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 @attrs.frozen
 class NodeNews:
-    """What an entry host says of itself."""
+    """State that an entry host publishes about itself."""
 
     # Address of its control daemon.
     control: str
     data_centre: str
-    # Address of its router; empty until it has reported.
+    # Address of its router; empty until the router has reported.
     router: str
-    # Offset of the configuration it has folded.
+    # Offset of the log up to which it has applied the configuration.
     offset: int
-    # Offset that its router has in force.
+    # Offset of the configuration that its router uses.
     in_force: int
-    # False if it can't read the platform's log.
+    # False if the host can't read the platform's log.
     log_reachable: bool
 
 
 @attrs.frozen
 class Exchange:
-    """One message of the periodic exchange, or an urgent push."""
+    """A message of the periodic exchange or of an urgent push."""
 
     sender: str
     address: str
@@ -42,7 +42,7 @@
 
 
 def pack_node(news: NodeNews) -> str:
-    """Returns the news as the value of an entry."""
+    """Encodes a host's state as the value of an entry."""
     flag = "1" if news.log_reachable else "0"
     return (
         f"{news.control}|{news.data_centre}|{news.router}|{news.offset}"
@@ -51,7 +51,7 @@
 
 
 def unpack_node(text: str) -> NodeNews:
-    """Returns the news from the value of an entry.
+    """Decodes a host's state from the value of an entry.
 
     Raises:
         codec.DecodeError: The text has another form.
@@ -73,7 +73,7 @@
 
 
 def pack_exchange(message: Exchange) -> bytes:
-    """Returns a message as JSON bytes."""
+    """Encodes a message as JSON bytes."""
     return codec.dump_json(
         [
             message.sender,
@@ -85,7 +85,7 @@
 
 
 def unpack_exchange(data: bytes) -> Exchange:
-    """Returns a message from JSON bytes.
+    """Decodes a message from JSON bytes.
 
     Raises:
         codec.DecodeError: The bytes have another form.
@@ -105,7 +105,7 @@
 
 def _pack_told(told: entries.Told) -> list[Any]:
     entry = told.entry
-    # A node's own news repeats its name as origin; it is left out.
+    # The origin is omitted where it equals the name, as in node entries.
     origin = "" if entry.origin == entry.name else entry.origin
     return [
         entry.kind.value,
--- a/egretspur/membership/sender.py
+++ b/egretspur/membership/sender.py
@@ -1,8 +1,8 @@
-"""Threads that carry messages to peers outside the actor.
+"""Threads that send messages to peers outside the actor.
 
-Were the actor to wait for a peer's answer itself, two hosts that send to each
-other at the same moment would both wait until their time-outs: each one's
-actor is needed to answer the other.
+If the actor itself waited for a peer's answer, two hosts that send to each
+other at the same moment would both block until their time-outs, since each
+host's actor has to answer the other.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 THREADS: Final = 2
 
-# Messages waiting at most; more are dropped, later exchanges make up for them.
+# Messages beyond this are dropped; later exchanges make up for them.
 QUEUE_LENGTH: Final = 64
 
 
@@ -36,7 +36,7 @@
 
 
 class Sender:
-    """Sends messages and hands the answers on."""
+    """Sends messages and passes the answers to a callback."""
 
     def __init__(self, on_answer: Callable[[news.Exchange], None]) -> None:
         self._on_answer = on_answer
@@ -48,7 +48,7 @@
             threading.Thread(target=self._run, name="peers", daemon=True)
             for _ in range(THREADS)
         ]
-        # Bytes sent and received in bodies, for the metrics.
+        # Bytes of message bodies sent and received, for the metrics.
         self.sent_bytes = 0
         self.received_bytes = 0
 
@@ -58,7 +58,7 @@
             thread.start()
 
     def close(self) -> None:
-        """Stops the threads after what they are sending."""
+        """Stops the threads after the messages that they are sending."""
         for _ in self._threads:
             try:
                 self._queue.put_nowait(None)
@@ -67,11 +67,14 @@
         self._transport.close()
 
     def send(self, parcel: OutgoingMessage) -> None:
-        """Queues a message; drops it if too many wait."""
+        """Queues a message; drops it if the queue is full."""
         try:
             self._queue.put_nowait(parcel)
         except queue.Full:
-            _LOG.debug("message dropped", extra={"peer": parcel.address})
+            _LOG.debug(
+                "send queue is full; message dropped",
+                extra={"peer": parcel.address},
+            )
 
     def _run(self) -> None:
         while True:
@@ -85,7 +88,10 @@
         res = self._transport.call("POST", parcel.address, parcel.path, data)
         self.sent_bytes += len(data)
         if isinstance(res, transport.Failed) or res.status != 200:
-            _LOG.debug("peer does not answer", extra={"peer": parcel.address})
+            _LOG.debug(
+                "peer did not answer with status 200",
+                extra={"peer": parcel.address},
+            )
             return
         self.received_bytes += len(res.body)
         try:
