--- a/bench/duties.py
+++ b/bench/duties.py
@@ -203,10 +203,10 @@
     ]
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     with sock:
-        while not stop.wait(exchange.PERIOD_S):
+        while not stop.wait(exchange.SEND_PERIOD_S):
             for news in told:
                 # Hosts don't send in one moment.
-                stop.wait(exchange.PERIOD_S / len(told) / 2)
+                stop.wait(exchange.SEND_PERIOD_S / len(told) / 2)
                 data = datagrams.encode_news(news)
                 sock.sendto(data, (cfg.ip, cfg.exchange_port))
 
--- a/tests/admission/sharing.py
+++ b/tests/admission/sharing.py
@@ -26,7 +26,7 @@
 RATIO: Final = 0.2
 
 # Between two news of a host; the hosts of one moment hear each other in turn.
-NEWS_S: Final = exchange.PERIOD_S
+NEWS_S: Final = exchange.SEND_PERIOD_S
 
 
 @attrs.define(eq=False)
@@ -118,7 +118,7 @@
 
     def _tell(self, host: Host) -> None:
         host.turn += 1
-        names = host.turn % exchange.PEERS_EVERY == 0
+        names = host.turn % exchange.PEER_LIST_INTERVAL == 0
         named = host.peers.list_places(self.now_s) if names else {}
         is_speaker = host.peers.is_speaker(self.now_s)
         far = host.peers.list_far(self.now_s)
--- a/tests/routing/limits.py
+++ b/tests/routing/limits.py
@@ -25,7 +25,7 @@
 
 # Seconds between two steps of the model and two datagrams of a host.
 STEP_S: Final = 0.02
-NEWS_S: Final = exchange.PERIOD_S
+NEWS_S: Final = exchange.SEND_PERIOD_S
 
 # From the sending of a request to the end of its answer, in seconds.
 ANSWER_S: Final = {"llm": 1.5, "desk": 0.04}
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -136,7 +136,7 @@
         assert describe(moved) == told, (context.now_s, moved)
         held = context.host.fleet.roster.entries[context.name].layers
         assert held == moved[context.name].layers, held
-        context.now_s += exchange.PERIOD_S
+        context.now_s += exchange.SEND_PERIOD_S
         context.host.tick(context.now_s)
 
 
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -439,7 +439,7 @@
 
 @given("a host of kl-hall and four of pg-hall on this machine, and no spares")
 def step_two_places(context: Any) -> None:
-    patch = mock.patch.object(exchange, "SPARES", 0)
+    patch = mock.patch.object(exchange, "SPARE_CONTACTS", 0)
     patch.start()
     context.add_cleanup(patch.stop)
     context.play = Talkers()
@@ -466,7 +466,7 @@
     first = context.play.exchanges[0]
     stage.wait_until(
         lambda: (
-            len(first._peers._places) == 4
+            len(first._peers._host_data_centres) == 4
             and len(first._peers.list_far(time.monotonic())) == 1
         ),
         20.0,
