--- a/bench/duties.py
+++ b/bench/duties.py
@@ -207,17 +207,17 @@
             for news in told:
                 # Hosts don't send in one moment.
                 stop.wait(exchange.SEND_PERIOD_S / len(told) / 2)
-                data = datagrams.encode_news(news)
+                data = datagrams.encode_update(news)
                 sock.sendto(data, (cfg.ip, cfg.exchange_port))
 
 
 def make_news(
     number: int, place: str, engines: Sequence[str]
-) -> datagrams.News:
+) -> datagrams.PeerUpdate:
     """Returns what one neighbour tells."""
     rng = random.Random(number)
     used = rng.sample(list(engines), min(IN_FLIGHT, len(engines)))
-    return datagrams.News(
+    return datagrams.PeerUpdate(
         f"127.0.{100 + number // 250}.{number % 250 + 1}",
         place,
         0.1,
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -244,7 +244,7 @@
             feed.close()
 
     def poke(
-        self, known: reading.Known, heard: Sequence[datagrams.News]
+        self, known: reading.Known, heard: Sequence[datagrams.PeerUpdate]
     ) -> None:
         """Has read what another host has read already.
 
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -343,7 +343,7 @@
         is_alive = self._engines.is_alive(entry.address, service.health_path)
         return upstreams.PLAIN_REPORT if is_alive else None
 
-    def _make_news(self, peers: Mapping[str, str]) -> datagrams.News:
+    def _make_news(self, peers: Mapping[str, str]) -> datagrams.PeerUpdate:
         """Returns what this host tells the others of its data centre."""
         self._note_role()
         now_s = time.monotonic()
@@ -355,15 +355,15 @@
             self._exchange.is_store_away(age_s),
             self._followed.get_era(),
         )
-        made: datagrams.News = self._desk.look(
+        made: datagrams.PeerUpdate = self._desk.look(
             lambda state: news.collect(state, self._cfg.ip, view, peers, now_s)
         )
         self._known = made.known
         return made
 
-    def _widen_news(self, own: datagrams.News) -> datagrams.News:
+    def _widen_news(self, own: datagrams.PeerUpdate) -> datagrams.PeerUpdate:
         """Returns what this host tells other data centres for its own."""
-        widened: datagrams.News = self._desk.look(
+        widened: datagrams.PeerUpdate = self._desk.look(
             lambda state: news.widen(state, own, time.monotonic())
         )
         return widened
@@ -375,7 +375,9 @@
             self._was_reader = is_reader
             self._followed.poke_all()
 
-    def _take_news(self, heard: Sequence[datagrams.News], hosts: int) -> None:
+    def _take_news(
+        self, heard: Sequence[datagrams.PeerUpdate], hosts: int
+    ) -> None:
         self._followed.poke(self._known, heard)
         self._watch.hear({i for n in heard for i in n.suspects})
         told = tuple(news.read(n) for n in heard)
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -47,7 +47,7 @@
     view: StoreView,
     peers: Mapping[str, str],
     now_s: float,
-) -> datagrams.News:
+) -> datagrams.PeerUpdate:
     """Returns what a host tells the others of its data centre.
 
     Args:
@@ -58,7 +58,7 @@
         now_s: Monotonic time.
     """
     own = state.fleet
-    return datagrams.News(
+    return datagrams.PeerUpdate(
         host=ip,
         data_centre=own.data_centre,
         store_age_s=max(0.0, view.age_s),
@@ -78,15 +78,15 @@
         excess=own.memory.list_excess(now_s),
         suspects=own.list_suspects(now_s, False),
         spent=state.repeats.list_spent(now_s),
-        ended=state.quarantine.list_told(datagrams.MAX_ENDED, now_s),
+        ended=state.quarantine.list_told(datagrams.MAX_CRASHED_REQUESTS, now_s),
         is_new=state.repeats.is_new(now_s),
         limits=state.throttle.list_told(now_s),
     )
 
 
 def widen(
-    state: broker.Broker, news: datagrams.News, now_s: float
-) -> datagrams.News:
+    state: broker.Broker, news: datagrams.PeerUpdate, now_s: float
+) -> datagrams.PeerUpdate:
     """Returns a host's news with what its whole data centre has."""
     return attrs.evolve(
         news,
@@ -97,7 +97,7 @@
     )
 
 
-def read(news: datagrams.News) -> fleet.PeerNews:
+def read(news: datagrams.PeerUpdate) -> fleet.PeerNews:
     """Returns what the broker takes of another host's news."""
     return fleet.PeerNews(
         host=news.host,
--- a/egretspur/membership/datagrams.py
+++ b/egretspur/membership/datagrams.py
@@ -28,17 +28,17 @@
 
 # Limit on requests in one datagram that are quarantined or crashed upstreams,
 # for the same reason: 0.6 kB with one crash each.
-MAX_ENDED: Final = 16
+MAX_CRASHED_REQUESTS: Final = 16
 
 # Limit on hosts whose last datagram is cached. A host receives datagrams from
 # its data centre and from the speakers of the others.
-KEPT_HOSTS: Final = 512
+MAX_CACHED_HOSTS: Final = 512
 
 V = TypeVar("V")
 
 
 @attrs.frozen
-class News:
+class PeerUpdate:
     """State of a host that it sends to the others."""
 
     # Address of the sending host.
@@ -65,7 +65,7 @@
     # Part of the retry budgets that the host spent, by service.
     spent: Mapping[str, shared.Spent] = attrs.Factory(dict)
     # Upstreams that crashed under requests, by request fingerprint; empty for
-    # an answered request. Up to `MAX_ENDED`.
+    # an answered request. Up to `MAX_CRASHED_REQUESTS`.
     ended: Mapping[str, quarantine.Ends] = attrs.Factory(dict)
     # The host has received updates for less than a window of the retry budget
     # and does not know what was spent before.
@@ -75,14 +75,14 @@
 
 
 @attrs.frozen
-class NotNews:
+class InvalidUpdate:
     """Reason why a datagram is not a valid peer update."""
 
     field: str
     problem: str
 
 
-def encode_news(news: News) -> bytes:
+def encode_update(news: PeerUpdate) -> bytes:
     """Returns the datagram for an update.
 
     Only the `MAX_ENTRIES` engines that use most memory are included.
@@ -139,7 +139,7 @@
         # Last datagram of each host, by address; the longest silent host first.
         self._last: dict[str, _LastDatagram] = {}
 
-    def decode(self, data: bytes) -> News | NotNews:
+    def decode(self, data: bytes) -> PeerUpdate | InvalidUpdate:
         """Returns the update in a datagram, or why it is refused."""
         try:
             row = checks.check_row(
@@ -150,13 +150,13 @@
                 row, self._last.pop(host, _NO_DATAGRAM)
             )
         except checks.FieldError as exc:
-            return NotNews(exc.field, str(exc))
+            return InvalidUpdate(exc.field, str(exc))
         except codec.DecodeError as exc:
-            return NotNews("bytes", str(exc))
-        if len(self._last) >= KEPT_HOSTS:
+            return InvalidUpdate("bytes", str(exc))
+        if len(self._last) >= MAX_CACHED_HOSTS:
             del self._last[next(iter(self._last))]
         self._last[host] = told
-        return News(*told.decoded)
+        return PeerUpdate(*told.decoded)
 
 
 @attrs.frozen(eq=False)
@@ -165,7 +165,7 @@
 
     # The list as received.
     row: list[Any]
-    # The fields of `News` decoded from it.
+    # The fields of `PeerUpdate` decoded from it.
     decoded: list[Any]
 
 
@@ -259,7 +259,7 @@
     )
 
 
-def decode_ends(value: Any) -> dict[str, float]:
+def decode_crashes(value: Any) -> dict[str, float]:
     """Returns upstreams that crashed under a request, with their weights."""
     return {
         checks.check_text(n, "ended"): checks.check_number(w, "ended")
@@ -292,7 +292,7 @@
     return ipaddress.IPv4Address(host)
 
 
-# Decoders of the fields of `News`, in their order in a datagram.
+# Decoders of the fields of `PeerUpdate`, in their order in a datagram.
 _FIELD_DECODERS: Final[tuple[Callable[[Any], Any], ...]] = (
     _check_host,
     functools.partial(checks.check_text, field="data_centre"),
@@ -306,7 +306,7 @@
     functools.partial(_decode_numbers, field="excess"),
     functools.partial(_decode_ids, field="suspects"),
     functools.partial(_decode_table, field="spent", decode=_decode_spent),
-    functools.partial(_decode_table, field="ended", decode=decode_ends),
+    functools.partial(_decode_table, field="ended", decode=decode_crashes),
     functools.partial(checks.check_flag, field="is_new"),
     functools.partial(_decode_table, field="limits", decode=_decode_limit),
 )
--- a/egretspur/membership/exchange.py
+++ b/egretspur/membership/exchange.py
@@ -149,7 +149,7 @@
         """Replaces the seed hosts."""
         self._seeds = frozenset(s for s in seeds if s != self._me)
 
-    def note(self, news: datagrams.News, now_s: float) -> None:
+    def note(self, news: datagrams.PeerUpdate, now_s: float) -> None:
         """Records the update of a host."""
         self._peer_statuses[news.host] = _PeerStatus(
             now_s,
@@ -251,7 +251,7 @@
             for t in self._peer_statuses.values()
         )
 
-    def is_of_far(self, news: datagrams.News) -> bool:
+    def is_of_far(self, news: datagrams.PeerUpdate) -> bool:
         """Returns whether an update is from another data centre."""
         return news.data_centre != self._data_centre
 
@@ -385,9 +385,9 @@
         peers: Peers,
         ip: str,
         port: int,
-        make_news: Callable[[Mapping[str, str]], datagrams.News],
-        widen: Callable[[datagrams.News], datagrams.News],
-        take_news: Callable[[Sequence[datagrams.News], int], None],
+        make_news: Callable[[Mapping[str, str]], datagrams.PeerUpdate],
+        widen: Callable[[datagrams.PeerUpdate], datagrams.PeerUpdate],
+        take_news: Callable[[Sequence[datagrams.PeerUpdate], int], None],
     ) -> None:
         """Makes an exchange.
 
@@ -512,8 +512,10 @@
         if is_speaker and remote:
             self._send_update(remote, self._widen(news))
 
-    def _send_update(self, hosts: Iterable[str], news: datagrams.News) -> None:
-        self._send_to(hosts, datagrams.encode_news(news))
+    def _send_update(
+        self, hosts: Iterable[str], news: datagrams.PeerUpdate
+    ) -> None:
+        self._send_to(hosts, datagrams.encode_update(news))
 
     def _send_to(self, hosts: Iterable[str], data: bytes) -> None:
         for host in hosts:
@@ -553,7 +555,7 @@
         forwarded = []
         for data, (sender, _) in received:
             news = self._decoder.decode(data)
-            if isinstance(news, datagrams.NotNews):
+            if isinstance(news, datagrams.InvalidUpdate):
                 self._log_refused(sender, news, now_s)
             elif news.host != self._ip:
                 updates.append(news)
@@ -572,7 +574,7 @@
         self._take_news(updates, host_count)
 
     def _log_refused(
-        self, sender: str, refused: datagrams.NotNews, now_s: float
+        self, sender: str, refused: datagrams.InvalidUpdate, now_s: float
     ) -> None:
         """Logs a refused datagram, once per sender and field in a period."""
         if now_s - self._refused_since_s > REFUSAL_LOG_PERIOD_S:
--- a/egretspur/platform/decode.py
+++ b/egretspur/platform/decode.py
@@ -277,7 +277,7 @@
 
 def decode_ends(value: Any) -> quarantine.Ends:
     """Returns the upstreams that ended under a request in quarantine."""
-    ends = datagrams.decode_ends(checks.Table(value).get("ended"))
+    ends = datagrams.decode_crashes(checks.Table(value).get("ended"))
     if not ends:
         raise checks.FieldError("ended", "empty")
     return ends
--- a/tests/admission/sharing.py
+++ b/tests/admission/sharing.py
@@ -154,9 +154,9 @@
         sender: Host,
         spent: dict[str, shared.Spent],
         named: dict[str, str],
-    ) -> datagrams.News:
+    ) -> datagrams.PeerUpdate:
         known = reading.Known(1, 1, 0.0)
-        return datagrams.News(
+        return datagrams.PeerUpdate(
             sender.ip,
             sender.place,
             0.0,
@@ -179,7 +179,7 @@
             return False
         return self.rng.random() >= self.lost
 
-    def _take(self, host: Host, news: datagrams.News) -> None:
+    def _take(self, host: Host, news: datagrams.PeerUpdate) -> None:
         host.has_heard = True
         host.peers.note(news, self.now_s)
         host.repeats.hear(
--- a/tests/routing/peers.py
+++ b/tests/routing/peers.py
@@ -46,8 +46,8 @@
     heard = []
     view = news.StoreView(1, 0.0, 0.0, False, 0)
     own = news.collect(host.state, host.ip, view, {}, now_s)
-    near_data = datagrams.encode_news(own)
-    wide_data = datagrams.encode_news(news.widen(host.state, own, now_s))
+    near_data = datagrams.encode_update(own)
+    wide_data = datagrams.encode_update(news.widen(host.state, own, now_s))
     near = [h for h in hosts if h.data_centre == host.data_centre]
     for other in hosts:
         is_near = other.data_centre == host.data_centre
@@ -56,7 +56,7 @@
         if not is_heard(host, other):
             continue
         found = other.decoder.decode(near_data if is_near else wide_data)
-        assert not isinstance(found, datagrams.NotNews), found
+        assert not isinstance(found, datagrams.InvalidUpdate), found
         other.state.hear(news.read(found), now_s)
         heard.append(other)
     return heard
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -31,9 +31,9 @@
 
 def make_news(
     host: str = "10.0.0.1", data_centre: str = "kl-hall", store_age_s: float = 0
-) -> datagrams.News:
+) -> datagrams.PeerUpdate:
     """Returns the news of a host with nothing in flight."""
-    return datagrams.News(
+    return datagrams.PeerUpdate(
         host,
         data_centre,
         store_age_s,
@@ -270,7 +270,7 @@
 
 @given("news with requests in flight, slow and dead engines and layers")
 def step_news(context: Any) -> None:
-    context.news = datagrams.News(
+    context.news = datagrams.PeerUpdate(
         "10.1.0.4",
         "kl-hall",
         0.25,
@@ -286,7 +286,7 @@
 
 @when("it is sent as a datagram")
 def step_sent(context: Any) -> None:
-    context.read = read_alone(datagrams.encode_news(context.news))
+    context.read = read_alone(datagrams.encode_update(context.news))
 
 
 @then("the same news is read from it")
@@ -301,7 +301,7 @@
 
 @when("field {place:d} of its datagram is {value}")
 def step_field(context: Any, place: int, value: str) -> None:
-    row = json.loads(datagrams.encode_news(context.news))
+    row = json.loads(datagrams.encode_update(context.news))
     parts = [json.dumps(v) for v in row]
     parts[place] = value
     context.read = read_alone(f"[{','.join(parts)}]".encode())
@@ -309,30 +309,30 @@
 
 @then('it is refused for its "{field}"')
 def step_refused_field(context: Any, field: str) -> None:
-    assert isinstance(context.read, datagrams.NotNews), context.read
+    assert isinstance(context.read, datagrams.InvalidUpdate), context.read
     assert context.read.field == field, context.read
 
 
 @then("it is ignored")
 def step_ignored(context: Any) -> None:
-    assert isinstance(context.read, datagrams.NotNews), context.read
+    assert isinstance(context.read, datagrams.InvalidUpdate), context.read
 
 
-def read_alone(data: bytes) -> datagrams.News | datagrams.NotNews:
+def read_alone(data: bytes) -> datagrams.PeerUpdate | datagrams.InvalidUpdate:
     """Reads a datagram as the first one of its host."""
     return datagrams.Decoder().decode(data)
 
 
 @when("one field of its datagram after the other is of another type")
 def step_fields_broken(context: Any) -> None:
-    row = json.loads(datagrams.encode_news(context.news))
+    row = json.loads(datagrams.encode_update(context.news))
     context.outcomes = []
     for place, wrong in itertools.product(range(len(row)), WRONG):
         if type(wrong) is type(row[place]):
             continue
         data = json.dumps([*row[:place], wrong, *row[place + 1 :]]).encode()
         decoder = datagrams.Decoder()
-        before = decoder.decode(datagrams.encode_news(context.news))
+        before = decoder.decode(datagrams.encode_update(context.news))
         assert before == context.news, before
         context.outcomes.append((place, wrong, read_alone(data)))
         context.outcomes.append((place, wrong, decoder.decode(data)))
@@ -342,7 +342,7 @@
 def step_all_refused(context: Any) -> None:
     assert len(context.outcomes) > 100, len(context.outcomes)
     for place, wrong, found in context.outcomes:
-        assert isinstance(found, datagrams.NotNews), (place, wrong, found)
+        assert isinstance(found, datagrams.InvalidUpdate), (place, wrong, found)
 
 
 @when("hosts tell any news, one after the other")
@@ -370,10 +370,10 @@
 
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
     @hypothesis.given(st.lists(drawn, max_size=8))
-    def check(told: list[datagrams.News]) -> None:
+    def check(told: list[datagrams.PeerUpdate]) -> None:
         decoder = datagrams.Decoder()
         for news in told:
-            assert decoder.decode(datagrams.encode_news(news)) == news
+            assert decoder.decode(datagrams.encode_update(news)) == news
             context.checked += 1
 
     check()
@@ -387,9 +387,9 @@
 @when("more hosts tell something than are kept")
 def step_many_hosts(context: Any) -> None:
     context.decoder = datagrams.Decoder()
-    for i in range(datagrams.KEPT_HOSTS + 10):
+    for i in range(datagrams.MAX_CACHED_HOSTS + 10):
         news = make_news(f"10.0.{i // 250}.{i % 250}")
-        assert context.decoder.decode(datagrams.encode_news(news)) == news
+        assert context.decoder.decode(datagrams.encode_update(news)) == news
 
 
 @then("the last datagrams of no more are in memory")
@@ -397,7 +397,7 @@
     (last,) = [
         v for v in gc.get_referents(context.decoder) if isinstance(v, dict)
     ]
-    assert len(last) == datagrams.KEPT_HOSTS, len(last)
+    assert len(last) == datagrams.MAX_CACHED_HOSTS, len(last)
 
 
 @given("hosts {hosts} of {data_centre} that were heard now")
@@ -447,7 +447,7 @@
     port = stage.find_udp_port(ips)
     for ip in ips:
         place = "kl-hall" if ip == ips[0] else "pg-hall"
-        heard: dict[str, datagrams.News] = {}
+        heard: dict[str, datagrams.PeerUpdate] = {}
         context.play.heard[ip] = heard
         item = exchange.Exchange(
             exchange.Peers(ip, place, ips),
@@ -501,7 +501,7 @@
     """Exchanges on this machine, closed with the scenario."""
 
     exchanges: list[exchange.Exchange] = attrs.Factory(list)
-    heard: dict[str, dict[str, datagrams.News]] = attrs.Factory(dict)
+    heard: dict[str, dict[str, datagrams.PeerUpdate]] = attrs.Factory(dict)
 
     def close(self) -> None:
         """Closes all of them."""
@@ -514,7 +514,7 @@
     context.play = Talkers()
     port = stage.find_udp_port(IPS)
     for ip in IPS:
-        heard: dict[str, datagrams.News] = {}
+        heard: dict[str, datagrams.PeerUpdate] = {}
         context.play.heard[ip] = heard
         context.play.exchanges.append(
             exchange.Exchange(
@@ -533,7 +533,7 @@
 def make_sender(ip: str, place: str = "kl-hall") -> Any:
     """Returns what makes a host's news."""
 
-    def make(heard: dict[str, str]) -> datagrams.News:
+    def make(heard: dict[str, str]) -> datagrams.PeerUpdate:
         usage = {f"i-{ip}": jobs.Usage(1, 900.0)}
         news = make_news(ip, place)
         return attrs.evolve(news, usage=usage, peers=heard)
@@ -541,10 +541,10 @@
     return make
 
 
-def make_taker(heard: dict[str, datagrams.News]) -> Any:
+def make_taker(heard: dict[str, datagrams.PeerUpdate]) -> Any:
     """Returns what takes others' news."""
 
-    def take(news: Sequence[datagrams.News], hosts: int) -> None:
+    def take(news: Sequence[datagrams.PeerUpdate], hosts: int) -> None:
         heard.update({n.host: n for n in news})
 
     return take
@@ -623,7 +623,7 @@
 def step_at_once(context: Any, count: int) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for i in range(count - 1):
-            data = datagrams.encode_news(make_news(f"10.0.1.{i}"))
+            data = datagrams.encode_update(make_news(f"10.0.1.{i}"))
             sock.sendto(data, (IPS[0], context.port))
         sock.sendto(b"[]", (IPS[0], context.port))
 
