--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -136,7 +136,7 @@
             cfg.bounds,
         )
         self._prober = probes.Prober(
-            self._desk, self._probe, self._exchange.hurry, self._saver.take
+            self._desk, self._probe, self._exchange.send_soon, self._saver.take
         )
         self._duty = duty.Duty(group, self._exchange)
         self._keeper = ranges.RangeKeeper(self._duty, self._engines, self)
--- a/egretspur/membership/datagrams.py
+++ b/egretspur/membership/datagrams.py
@@ -82,33 +82,33 @@
     problem: str
 
 
-def encode_update(news: PeerUpdate) -> bytes:
+def encode_update(update: PeerUpdate) -> bytes:
     """Returns the datagram for an update.
 
     Only the `MAX_ENTRIES` engines that use most memory are included.
     """
-    rows = sorted(news.usage.items(), key=lambda i: -i[1].room)[:MAX_ENTRIES]
+    rows = sorted(update.usage.items(), key=lambda i: -i[1].room)[:MAX_ENTRIES]
     return orjson.dumps(
         [
-            news.host,
-            news.data_centre,
-            round(news.store_age_s, 2),
+            update.host,
+            update.data_centre,
+            round(update.store_age_s, 2),
             [
-                news.known.version,
-                news.known.digest,
-                round(news.known.list_age_s, 2),
-                news.known.era,
+                update.known.version,
+                update.known.digest,
+                round(update.known.list_age_s, 2),
+                update.known.era,
             ],
             {i: [u.count, int(u.room)] for i, u in rows},
-            dict(news.pace),
-            list(news.dead),
+            dict(update.pace),
+            list(update.dead),
             {
                 i: [a.layers.first, a.layers.last, round(a.age_s, 2)]
-                for i, a in news.layers.items()
+                for i, a in update.layers.items()
             },
-            dict(news.peers),
-            dict(news.excess),
-            list(news.suspects[:MAX_SUSPECTS]),
+            dict(update.peers),
+            dict(update.excess),
+            list(update.suspects[:MAX_SUSPECTS]),
             {
                 service: [
                     s.hosts,
@@ -116,13 +116,13 @@
                     round(s.borrowed, 1),
                     s.borrowers,
                 ]
-                for service, s in news.spent.items()
+                for service, s in update.spent.items()
             },
-            {f: dict(ends) for f, ends in news.ended.items()},
-            news.is_new,
+            {f: dict(ends) for f, ends in update.ended.items()},
+            update.is_new,
             {
                 i: [t.per_s, round(t.age_s, 2), t.wanted]
-                for i, t in news.limits.items()
+                for i, t in update.limits.items()
             },
         ]
     )
--- a/egretspur/membership/exchange.py
+++ b/egretspur/membership/exchange.py
@@ -149,20 +149,20 @@
         """Replaces the seed hosts."""
         self._seeds = frozenset(s for s in seeds if s != self._me)
 
-    def note(self, news: datagrams.PeerUpdate, now_s: float) -> None:
+    def record_update(self, update: datagrams.PeerUpdate, now_s: float) -> None:
         """Records the update of a host."""
-        self._peer_statuses[news.host] = _PeerStatus(
+        self._peer_statuses[update.host] = _PeerStatus(
             now_s,
-            news.data_centre,
-            news.store_age_s,
-            news.known.list_age_s,
-            news.known.version,
+            update.data_centre,
+            update.store_age_s,
+            update.known.list_age_s,
+            update.known.version,
         )
-        self._host_data_centres[news.host] = news.data_centre
-        self._data_centre_updates[news.data_centre] = now_s
-        for host, data_centre in news.peers.items():
+        self._host_data_centres[update.host] = update.data_centre
+        self._data_centre_updates[update.data_centre] = now_s
+        for host, data_centre in update.peers.items():
             self._host_data_centres.setdefault(host, data_centre)
-        self.note_members((news.host, *news.peers), now_s)
+        self.note_members((update.host, *update.peers), now_s)
 
     def note_members(self, hosts: Iterable[str], now_s: float) -> None:
         """Adds hosts that another source lists, with or without an update."""
@@ -170,7 +170,7 @@
             if host != self._me:
                 self._known[host] = now_s
 
-    def list_near(self, now_s: float) -> list[str]:
+    def list_local(self, now_s: float) -> list[str]:
         """Returns the hosts to send to: those not known to be remote."""
         self._known = {
             h: t for h, t in self._known.items() if self._shares_budget(h, t)
@@ -180,7 +180,7 @@
         }
         return sorted(h for h in hosts if not self._is_remote_host(h))
 
-    def list_far(self, now_s: float) -> list[str]:
+    def list_remote(self, now_s: float) -> list[str]:
         """Returns the hosts of other data centres to send to.
 
         For each data centre, its speakers, which forward the update, and a
@@ -213,7 +213,7 @@
         data_centre = self._host_data_centres.get(host)
         return data_centre is not None and data_centre != self._data_centre
 
-    def count_sharing(self) -> int:
+    def count_budget_sharers(self) -> int:
         """Returns how many hosts share the retry budget, with this one.
 
         Hosts of other data centres are known from their speakers' lists. A data
@@ -251,15 +251,15 @@
             for t in self._peer_statuses.values()
         )
 
-    def is_of_far(self, news: datagrams.PeerUpdate) -> bool:
+    def is_remote(self, update: datagrams.PeerUpdate) -> bool:
         """Returns whether an update is from another data centre."""
-        return news.data_centre != self._data_centre
+        return update.data_centre != self._data_centre
 
     def is_speaker(self, now_s: float) -> bool:
         """Returns whether this host sends to the other data centres."""
         return self._precedes(self._find_local_alive(now_s))
 
-    def list_places(self, now_s: float) -> dict[str, str]:
+    def list_recent(self, now_s: float) -> dict[str, str]:
         """Returns the data centre of each host with a recent update."""
         return {
             h: t.data_centre
@@ -267,7 +267,7 @@
             if now_s - t.at_s < PEER_LIST_MAX_AGE_S
         }
 
-    def list_best_read(self, now_s: float) -> list[str]:
+    def list_by_freshness(self, now_s: float) -> list[str]:
         """Returns the live hosts in the order in which to ask for the list.
 
         These are this data centre's hosts with a fresh list, beginning with its
@@ -385,9 +385,9 @@
         peers: Peers,
         ip: str,
         port: int,
-        make_news: Callable[[Mapping[str, str]], datagrams.PeerUpdate],
-        widen: Callable[[datagrams.PeerUpdate], datagrams.PeerUpdate],
-        take_news: Callable[[Sequence[datagrams.PeerUpdate], int], None],
+        make_update: Callable[[Mapping[str, str]], datagrams.PeerUpdate],
+        aggregate: Callable[[datagrams.PeerUpdate], datagrams.PeerUpdate],
+        handle_updates: Callable[[Sequence[datagrams.PeerUpdate], int], None],
     ) -> None:
         """Makes an exchange.
 
@@ -395,17 +395,17 @@
             peers: State of the other hosts; the exchange owns it from now on.
             ip: This host's address.
             port: UDP port of all hosts.
-            make_news: Returns this host's update, given the peers to list.
-            widen: Returns the update of the whole data centre, given this
+            make_update: Returns this host's update, given the peers to list.
+            aggregate: Returns the update of the whole data centre, given this
                 host's; the speaker sends it to the other data centres.
-            take_news: Receives the updates of others, oldest first, and the
-                number of hosts that share a retry budget.
+            handle_updates: Receives the updates of others, oldest first, and
+                the number of hosts that share a retry budget.
         """
         self._ip = ip
         self._port = port
-        self._make_news = make_news
-        self._widen = widen
-        self._take_news = take_news
+        self._make_update = make_update
+        self._aggregate = aggregate
+        self._handle_updates = handle_updates
         self._lock = threading.Lock()
         self._peers = peers
         self._decoder = datagrams.Decoder()
@@ -479,14 +479,14 @@
     def list_alive(self) -> list[str]:
         """Returns the live hosts, this data centre's reader first."""
         with self._lock:
-            return self._peers.list_best_read(time.monotonic())
+            return self._peers.list_by_freshness(time.monotonic())
 
     def is_alone(self) -> bool:
         """Returns whether no local host has sent an update recently."""
         with self._lock:
             return self._peers.is_alone(time.monotonic())
 
-    def hurry(self) -> None:
+    def send_soon(self) -> None:
         """Sends the next update early: requests fail until peers have it."""
         self._send_requested.set()
 
@@ -502,20 +502,20 @@
     def _send_once(self, turn: int) -> None:
         now_s = time.monotonic()
         with self._lock:
-            local = self._peers.list_near(now_s)
-            remote = self._peers.list_far(now_s)
+            local = self._peers.list_local(now_s)
+            remote = self._peers.list_remote(now_s)
             is_speaker = self._peers.is_speaker(now_s)
-            listed = self._peers.list_places(now_s)
+            listed = self._peers.list_recent(now_s)
         peers = listed if turn % PEER_LIST_INTERVAL == 0 else {}
-        news = self._make_news(peers)
-        self._send_update(local, news)
+        update = self._make_update(peers)
+        self._send_update(local, update)
         if is_speaker and remote:
-            self._send_update(remote, self._widen(news))
+            self._send_update(remote, self._aggregate(update))
 
     def _send_update(
-        self, hosts: Iterable[str], news: datagrams.PeerUpdate
+        self, hosts: Iterable[str], update: datagrams.PeerUpdate
     ) -> None:
-        self._send_to(hosts, datagrams.encode_update(news))
+        self._send_to(hosts, datagrams.encode_update(update))
 
     def _send_to(self, hosts: Iterable[str], data: bytes) -> None:
         for host in hosts:
@@ -554,24 +554,24 @@
         updates = []
         forwarded = []
         for data, (sender, _) in received:
-            news = self._decoder.decode(data)
-            if isinstance(news, datagrams.InvalidUpdate):
-                self._log_refused(sender, news, now_s)
-            elif news.host != self._ip:
-                updates.append(news)
-                if sender == news.host and self._peers.is_of_far(news):
+            update = self._decoder.decode(data)
+            if isinstance(update, datagrams.InvalidUpdate):
+                self._log_refused(sender, update, now_s)
+            elif update.host != self._ip:
+                updates.append(update)
+                if sender == update.host and self._peers.is_remote(update):
                     forwarded.append(data)
         if not updates:
             return
         with self._lock:
-            for news in updates:
-                self._peers.note(news, now_s)
-            host_count = self._peers.count_sharing()
+            for update in updates:
+                self._peers.record_update(update, now_s)
+            host_count = self._peers.count_budget_sharers()
             is_forwarding = bool(forwarded) and self._peers.is_speaker(now_s)
-            local = self._peers.list_near(now_s) if is_forwarding else []
+            local = self._peers.list_local(now_s) if is_forwarding else []
         for data in forwarded:
             self._send_to(local, data)
-        self._take_news(updates, host_count)
+        self._handle_updates(updates, host_count)
 
     def _log_refused(
         self, sender: str, refused: datagrams.InvalidUpdate, now_s: float
--- a/tests/admission/sharing.py
+++ b/tests/admission/sharing.py
@@ -112,18 +112,18 @@
         for host in self.rng.sample(self.hosts, len(self.hosts)):
             self._tell(host)
         for host in self.hosts:
-            sharing = host.peers.count_sharing()
+            sharing = host.peers.count_budget_sharers()
             if host.has_heard:
                 host.repeats.hosts = max(sharing, len(self._seeds))
 
     def _tell(self, host: Host) -> None:
         host.turn += 1
         names = host.turn % exchange.PEER_LIST_INTERVAL == 0
-        named = host.peers.list_places(self.now_s) if names else {}
+        named = host.peers.list_recent(self.now_s) if names else {}
         is_speaker = host.peers.is_speaker(self.now_s)
-        far = host.peers.list_far(self.now_s)
+        far = host.peers.list_remote(self.now_s)
         own = host.repeats.list_spent(self.now_s)
-        self._send(host, host.peers.list_near(self.now_s), own, named)
+        self._send(host, host.peers.list_local(self.now_s), own, named)
         if is_speaker:
             summed = host.repeats.sum_spent(self.now_s)
             self._send(host, far, summed, named)
@@ -140,7 +140,7 @@
             self._take(host, news)
             is_far = host.place != sender.place
             if is_far and host.peers.is_speaker(self.now_s):
-                near = host.peers.list_near(self.now_s)
+                near = host.peers.list_local(self.now_s)
                 for other in self._find_reached(host, near):
                     self._take(other, news)
 
@@ -181,7 +181,7 @@
 
     def _take(self, host: Host, news: datagrams.PeerUpdate) -> None:
         host.has_heard = True
-        host.peers.note(news, self.now_s)
+        host.peers.record_update(news, self.now_s)
         host.repeats.hear(
             news.host, news.data_centre, news.spent, self.now_s, news.is_new
         )
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -81,7 +81,9 @@
 def step_heard(
     context: Any, peer: str, data_centre: str, age: float, store: float
 ) -> None:
-    context.peers.note(make_news(peer, data_centre, store), 100.0 - age)
+    context.peers.record_update(
+        make_news(peer, data_centre, store), 100.0 - age
+    )
 
 
 @then("it {verdict} stand in")
@@ -105,7 +107,7 @@
     for i in range(count):
         news = make_news(f"10.1.{version}.{i + 1}", "kl-hall", 0.0)
         known = reading.Known(version, 7, 0.5)
-        context.peers.note(attrs.evolve(news, known=known), 100.0)
+        context.peers.record_update(attrs.evolve(news, known=known), 100.0)
 
 
 @then("{count:d} hosts are asked for the configuration, each as often")
@@ -403,18 +405,18 @@
 @given("hosts {hosts} of {data_centre} that were heard now")
 def step_hosts_heard(context: Any, hosts: str, data_centre: str) -> None:
     for host in hosts.split(", "):
-        context.peers.note(make_news(host, data_centre), 100.0)
+        context.peers.record_update(make_news(host, data_centre), 100.0)
 
 
 @then("it sends to {hosts} each time")
 def step_near(context: Any, hosts: str) -> None:
-    assert context.peers.list_near(100.1) == hosts.split(", ")
+    assert context.peers.list_local(100.1) == hosts.split(", ")
 
 
 @then("as speaker to {hosts}")
 def step_far(context: Any, hosts: str) -> None:
     assert context.peers.is_speaker(100.1)
-    assert context.peers.list_far(100.1) == hosts.split(", ")
+    assert context.peers.list_remote(100.1) == hosts.split(", ")
 
 
 @given("{count:d} more hosts of {place} that it only knows of")
@@ -422,19 +424,19 @@
     context.known = [f"10.2.1.{i + 1}" for i in range(count)]
     teller = make_news("10.1.0.99", "kl-hall")
     peers = dict.fromkeys(context.known, place)
-    context.peers.note(attrs.evolve(teller, peers=peers), 100.0)
+    context.peers.record_update(attrs.evolve(teller, peers=peers), 100.0)
 
 
 @then("it tells {host} of them and one more")
 def step_tells_one(context: Any, host: str) -> None:
-    told = context.peers.list_far(100.1)
+    told = context.peers.list_remote(100.1)
     assert len(told) == 2
     assert host in told
 
 
 @then("it tells {count:d} of them")
 def step_tells_all(context: Any, count: int) -> None:
-    assert len(context.peers.list_far(100.1)) == count
+    assert len(context.peers.list_remote(100.1)) == count
 
 
 @given("a host of kl-hall and four of pg-hall on this machine, and no spares")
@@ -467,7 +469,7 @@
     stage.wait_until(
         lambda: (
             len(first._peers._host_data_centres) == 4
-            and len(first._peers.list_far(time.monotonic())) == 1
+            and len(first._peers.list_remote(time.monotonic())) == 1
         ),
         20.0,
         "one speaker",
@@ -477,7 +479,7 @@
 @then("the one of kl-hall tells one of pg-hall")
 def step_tells(context: Any) -> None:
     first = context.play.exchanges[0]
-    assert first._peers.list_far(time.monotonic()) == ["127.0.0.2"]
+    assert first._peers.list_remote(time.monotonic()) == ["127.0.0.2"]
 
 
 @then("all four go on hearing of it")
@@ -570,7 +572,7 @@
 def step_others(context: Any, count: int) -> None:
     context.peers = exchange.Peers("10.1.0.1", "kl-hall", [])
     for i in range(count):
-        context.peers.note(make_news(f"10.1.0.{i + 2}"), 100.0)
+        context.peers.record_update(make_news(f"10.1.0.{i + 2}"), 100.0)
 
 
 @given(
@@ -583,21 +585,21 @@
         "10.1.0.1", "kl-hall", [], data_centres=places
     )
     for i in range(count):
-        context.peers.note(make_news(f"10.1.0.{i + 2}"), 100.0)
+        context.peers.record_update(make_news(f"10.1.0.{i + 2}"), 100.0)
 
 
 @when("for {seconds:d} s it hears {what}")
 def step_hears_on(context: Any, seconds: int, what: str) -> None:
     for i in range(seconds):
         if what == "one of them":
-            context.peers.note(make_news("10.1.0.2"), 101.0 + i)
+            context.peers.record_update(make_news("10.1.0.2"), 101.0 + i)
         # Forgets who is not counted any more.
-        context.peers.list_near(101.0 + i)
+        context.peers.list_local(101.0 + i)
 
 
 @then("{count:d} hosts share the repeats")
 def step_share(context: Any, count: int) -> None:
-    sharing = context.peers.count_sharing()
+    sharing = context.peers.count_budget_sharers()
     assert sharing == count, sharing
 
 
@@ -717,5 +719,5 @@
     """Has a host hear the others, whose lists are old."""
     for host in hosts:
         if host != me:
-            peers.note(make_news(host, "kl-hall", 5.0), now_s)
+            peers.record_update(make_news(host, "kl-hall", 5.0), now_s)
     return peers
