--- a/egretspur/membership/duty.py
+++ b/egretspur/membership/duty.py
@@ -25,17 +25,17 @@
 
 # The holder stops this long before the lease ends, so that an order that it has
 # just begun to send arrives within the lease.
-MARGIN_S: Final = 0.7
+LEASE_MARGIN_S: Final = 0.7
 
 # A deputy replaces the holder after the store has been silent for this time.
 DEPUTY_AFTER_S: Final = LEASE_S + 0.2
 
 # Seconds between two joins; two may be lost before the lease expires.
-PERIOD_S: Final = 0.9
+JOIN_PERIOD_S: Final = 0.9
 
 
 @attrs.frozen
-class Held:
+class JoinReply:
     """The store's answer to a join."""
 
     is_held: bool
@@ -47,7 +47,7 @@
 class Group(Protocol):
     """A group of the store in which one member has the duty."""
 
-    def join(self, ttl_s: float) -> Held | feeds.Unavailable:
+    def join(self, ttl_s: float) -> JoinReply | feeds.Unavailable:
         """Joins the group, or renews the membership."""
 
     def leave(self) -> None:
@@ -106,15 +106,17 @@
     # Start of the period; later than the store's grant after a restore.
     from_s: float = 0.0
 
-    def note(self, held: Held, asked_s: float) -> bool:
+    def apply_reply(self, reply: JoinReply, asked_s: float) -> bool:
         """Applies the answer to a join sent at `asked_s`; True on a change."""
-        if self.era not in (None, held.era):
+        if self.era not in (None, reply.era):
             self._delay_after_restore(asked_s)
-        self.era = held.era
+        self.era = reply.era
         before = self.until_s > 0
-        self.until_s = asked_s + LEASE_S - MARGIN_S if held.is_held else 0.0
-        self.generation = held.generation
-        return before != held.is_held
+        self.until_s = (
+            asked_s + LEASE_S - LEASE_MARGIN_S if reply.is_held else 0.0
+        )
+        self.generation = reply.generation
+        return before != reply.is_held
 
     def _delay_after_restore(self, asked_s: float) -> None:
         """Waits for the lease of a holder that a restored store has lost.
@@ -141,7 +143,7 @@
 class Peers(Protocol):
     """View of the other hosts that the duty needs."""
 
-    def note_members(self, hosts: tuple[str, ...]) -> None:
+    def add_members(self, hosts: tuple[str, ...]) -> None:
         """Receives the members of the group each time that they change."""
 
     def is_alone(self) -> bool:
@@ -150,7 +152,7 @@
     def is_candidate(self) -> bool:
         """Returns whether this host is one of those that may hold the duty."""
 
-    def is_first_cut_off(self) -> bool:
+    def may_be_deputy(self) -> bool:
         """Returns whether this is the first host while none reaches the store.
 
         That is the host with the lowest address among the hosts of its data
@@ -217,7 +219,7 @@
             return True
         # Any lease granted before the store went away has expired by then.
         is_away = now_s - self._answered_s > DEPUTY_AFTER_S
-        is_deputy = is_away and self._peers.is_first_cut_off()
+        is_deputy = is_away and self._peers.may_be_deputy()
         if is_deputy != self._is_deputy:
             self._is_deputy = is_deputy
             if is_deputy:
@@ -236,7 +238,7 @@
         while not self._stop.is_set():
             with guard.surviving("duty"):
                 self.join()
-            self._stop.wait(PERIOD_S)
+            self._stop.wait(JOIN_PERIOD_S)
 
     def join(self) -> None:
         """Joins the group once and applies the answer."""
@@ -248,7 +250,7 @@
         if isinstance(res, feeds.Unavailable):
             return
         self._answered_s = self._clock()
-        if self._lease.note(res, asked_s):
+        if self._lease.apply_reply(res, asked_s):
             _record(res)
         if (
             res.generation == self._listed_generation
@@ -261,7 +263,7 @@
         members = self.group.list_members()
         if not isinstance(members, feeds.Unavailable):
             self._listed_generation = res.generation
-            self._peers.note_members(members)
+            self._peers.add_members(members)
 
     def _yield_duty(self, now_s: float) -> None:
         """Leaves the duty to hosts with lower addresses."""
@@ -273,8 +275,8 @@
             self.group.leave()
 
 
-def _record(held: Held) -> None:
-    if held.is_held:
-        decisions.record(decisions.DutyTaken(held.generation, False))
+def _record(reply: JoinReply) -> None:
+    if reply.is_held:
+        decisions.record(decisions.DutyTaken(reply.generation, False))
     else:
         decisions.record(decisions.DutyEnded("dealt to another host"))
--- a/egretspur/membership/exchange.py
+++ b/egretspur/membership/exchange.py
@@ -162,9 +162,9 @@
         self._data_centre_updates[update.data_centre] = now_s
         for host, data_centre in update.peers.items():
             self._host_data_centres.setdefault(host, data_centre)
-        self.note_members((update.host, *update.peers), now_s)
+        self.add_members((update.host, *update.peers), now_s)
 
-    def note_members(self, hosts: Iterable[str], now_s: float) -> None:
+    def add_members(self, hosts: Iterable[str], now_s: float) -> None:
         """Adds hosts that another source lists, with or without an update."""
         for host in hosts:
             if host != self._me:
@@ -345,7 +345,7 @@
         draw = f"{self._me} {int(now_s / READER_DRAW_PERIOD_S)}".encode()
         return zlib.crc32(draw) % hosts < RANDOM_READERS
 
-    def is_first_cut_off(self, now_s: float) -> bool:
+    def may_be_deputy(self, now_s: float) -> bool:
         """Returns whether this is the first host while none has the store."""
         local = self._find_local_alive(now_s)
         if any(h.store_age_s < STORE_TIMEOUT_S for h in local.values()):
@@ -443,15 +443,15 @@
         with self._lock:
             self._peers.set_seeds(seeds)
 
-    def note_members(self, hosts: tuple[str, ...]) -> None:
+    def add_members(self, hosts: tuple[str, ...]) -> None:
         """Adds hosts that the store lists as members."""
         with self._lock:
-            self._peers.note_members(hosts, time.monotonic())
+            self._peers.add_members(hosts, time.monotonic())
 
-    def is_first_cut_off(self) -> bool:
+    def may_be_deputy(self) -> bool:
         """Returns whether this is the first host while none has the store."""
         with self._lock:
-            return self._peers.is_first_cut_off(time.monotonic())
+            return self._peers.may_be_deputy(time.monotonic())
 
     def is_reader(self) -> bool:
         """Returns whether this host reads the store for its data centre."""
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -423,7 +423,7 @@
         """Returns the newest era of the store that this host has seen."""
         return self._store.eras.newest
 
-    def join(self, ttl_s: float) -> duty.Held | feeds.Unavailable:
+    def join(self, ttl_s: float) -> duty.JoinReply | feeds.Unavailable:
         """Joins, or stays; returns whether the duty is this member's."""
         if self._era != self.get_era():
             # Generations go back with a copy of the store and are given out
@@ -452,7 +452,7 @@
         except codec.DecodeError as exc:
             return feeds.Unavailable(f"join: {exc}")
         holds = any(row[:2] == [names.DUTY_TOPIC, 0] for row in rows)
-        return duty.Held(holds, self._generation, read_era(res))
+        return duty.JoinReply(holds, self._generation, read_era(res))
 
     def list_members(self) -> tuple[str, ...] | feeds.Unavailable:
         """Returns the members that hold partitions of the duty topic."""
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -48,7 +48,7 @@
     """A group whose first join raises; see `duty.Group`."""
 
     def __init__(self) -> None:
-        self.join = FailOnce(lambda ttl_s: duty.Held(True, 1))
+        self.join = FailOnce(lambda ttl_s: duty.JoinReply(True, 1))
 
     def leave(self) -> None:
         """Nothing to do."""
@@ -65,7 +65,7 @@
 class Peers:
     """Nobody else; see `duty.Peers`."""
 
-    def note_members(self, hosts: tuple[str, ...]) -> None:
+    def add_members(self, hosts: tuple[str, ...]) -> None:
         """Nothing to do."""
 
     def is_alone(self) -> bool:
@@ -76,7 +76,7 @@
         """It may have the duty."""
         return True
 
-    def is_first_cut_off(self) -> bool:
+    def may_be_deputy(self) -> bool:
         """Never asked for."""
         return False
 
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -49,12 +49,12 @@
 @given("a lease that was asked for at {asked:f} s and dealt to this host")
 def step_lease(context: Any, asked: float) -> None:
     context.lease = duty.Lease()
-    context.lease.note(duty.Held(True, 1), asked)
+    context.lease.apply_reply(duty.JoinReply(True, 1), asked)
 
 
 @when("the next answer says that another host has it")
 def step_dealt(context: Any) -> None:
-    context.lease.note(duty.Held(False, 2), 10.4)
+    context.lease.apply_reply(duty.JoinReply(False, 2), 10.4)
 
 
 @then("orders may be given until {last:f} s and not at {after:f} s")
@@ -88,7 +88,7 @@
 
 @then("it {verdict} stand in")
 def step_verdict(context: Any, verdict: str) -> None:
-    assert context.peers.is_first_cut_off(100.0) == (verdict == "may")
+    assert context.peers.may_be_deputy(100.0) == (verdict == "may")
 
 
 @then("it {verdict} ask for the duty")
@@ -151,12 +151,12 @@
 class Group:
     """A group whose store answers as told; see `duty.Group`."""
 
-    answer: duty.Held | feeds.Unavailable
+    answer: duty.JoinReply | feeds.Unavailable
     joins: int = 0
     leaves: int = 0
     era: int = 0
 
-    def join(self, ttl_s: float) -> duty.Held | feeds.Unavailable:
+    def join(self, ttl_s: float) -> duty.JoinReply | feeds.Unavailable:
         """Answers."""
         self.joins += 1
         return self.answer
@@ -189,10 +189,10 @@
         """Nobody is heard."""
         return True
 
-    def note_members(self, hosts: tuple[str, ...]) -> None:
+    def add_members(self, hosts: tuple[str, ...]) -> None:
         """Nothing to do."""
 
-    def is_first_cut_off(self) -> bool:
+    def may_be_deputy(self) -> bool:
         """A host alone is the first."""
         return True
 
@@ -201,7 +201,7 @@
 def step_holder(context: Any) -> None:
     context.now_s = 50.0
     context.alone = Alone()
-    context.group = Group(duty.Held(True, 1))
+    context.group = Group(duty.JoinReply(True, 1))
     context.member = duty.Duty(
         context.group, context.alone, lambda: float(context.now_s)
     )
@@ -212,7 +212,7 @@
 @when("it hears of three hosts that come before it")
 def step_others_first(context: Any) -> None:
     context.alone.may_join = False
-    context.now_s += duty.PERIOD_S
+    context.now_s += duty.JOIN_PERIOD_S
     context.member.join()
 
 
@@ -222,7 +222,7 @@
     assert context.group.leaves == 1
     joins = context.group.joins
     for _ in range(10):
-        context.now_s += duty.PERIOD_S
+        context.now_s += duty.JOIN_PERIOD_S
         context.member.join()
     assert context.group.joins == joins
     assert context.group.leaves == 1
@@ -239,7 +239,7 @@
 def step_member(context: Any) -> None:
     context.now_s = context.asked_s = 50.0
     context.member = duty.Duty(
-        Group(duty.Held(False, 1)), Alone(), lambda: float(context.now_s)
+        Group(duty.JoinReply(False, 1)), Alone(), lambda: float(context.now_s)
     )
     context.member.join()
     context.member.group.answer = feeds.Unavailable("down")
@@ -261,7 +261,7 @@
 
 @when("the store answers that another host has the duty")
 def step_back(context: Any) -> None:
-    context.member.group.answer = duty.Held(False, 2)
+    context.member.group.answer = duty.JoinReply(False, 2)
     context.member.join()
 
 
@@ -646,7 +646,7 @@
 @then("it gives no orders until it has joined again")
 def step_until_joined(context: Any) -> None:
     assert not context.member.is_held()
-    context.group.answer = duty.Held(True, 1, context.group.era)
+    context.group.answer = duty.JoinReply(True, 1, context.group.era)
     context.member.join()
     # It held the duty all the while, so nobody else did.
     assert context.member.is_held()
@@ -657,11 +657,11 @@
     " the duty"
 )
 def step_not_holder(context: Any, seconds: int) -> None:
-    group = Group(duty.Held(False, 7, 1), era=1)
+    group = Group(duty.JoinReply(False, 7, 1), era=1)
     member = duty.Duty(group, Alone(), lambda: float(context.now_s))
     member.join()
     group.era = 2
-    group.answer = duty.Held(True, 5, 2)
+    group.answer = duty.JoinReply(True, 5, 2)
     began_s = context.now_s
     while context.now_s < began_s + seconds:
         member.join()
