--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -310,16 +310,16 @@
     """Bytes and time of a peer message, against its entries."""
     size: Points = []
     seconds: Points = []
-    ages = entries.Ages(20.0, 3600.0, 10.0, 3600.0, 3600.0)
+    ages = entries.Retention(20.0, 3600.0, 10.0, 3600.0, 3600.0)
     for count in sizes:
         told = tuple(_make_told(i) for i in range(count))
-        message = news.Exchange("host-123", "10.1.2.3:7070", 123456, told)
-        data = news.pack_exchange(message)
+        message = news.GossipMessage("host-123", "10.1.2.3:7070", 123456, told)
+        data = news.pack_message(message)
 
         def run(data: bytes = data) -> None:
             view = entries.View()
-            found = news.unpack_exchange(data)
-            entries.merge(view, found.told, ages, 1.0)
+            found = news.unpack_message(data)
+            entries.merge(view, found.items, ages, 1.0)
             entries.choose(view, 24, 2.0)
 
         size.append((count, len(data) / 1e3))
@@ -343,8 +343,8 @@
     return Slope("change_size", "chains", "KB", tuple(points))
 
 
-def _make_told(number: int) -> entries.Told:
-    said = news.NodeNews(
+def _make_told(number: int) -> entries.AgedEntry:
+    said = news.NodeState(
         f"10.1.{number}.7:7070",
         "kl-hall",
         f"10.1.{number}.7:8080",
@@ -360,7 +360,7 @@
         4711,
         news.pack_node(said),
     )
-    return entries.Told(entry, 1.5)
+    return entries.AgedEntry(entry, 1.5)
 
 
 def measure_wire(sizes: Sequence[int]) -> Slope:
--- a/bench/target.py
+++ b/bench/target.py
@@ -21,7 +21,7 @@
 LEASE_KB: Final = 0.25
 # A holder renews when half of its lease is over.
 RENEW_S: Final = settings.LeaseSettings().duration_s / 2
-FAN_OUT: Final = members.FAN_OUT
+FAN_OUT: Final = members.PUSH_FAN_OUT
 LOG_APPENDS_S: Final = 300.0
 CLAIM_SHARE: Final = 0.02
 FLUSH_S: Final = claim_actor.FLUSH_S
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -269,7 +269,7 @@
             return web.reply_refusal(
                 errors.Refusal(errors.ErrorKind.NOT_FOUND, repr(name))
             )
-        self._members.tell(members.AddEnded({name: {}}))
+        self._members.tell(members.AddCrashes({name: {}}))
         _LOG.info(
             "request let go", extra={"fingerprint": name, "operator": operator}
         )
@@ -282,7 +282,7 @@
             self._note_leaving(mark.upstream, mark.incarnation)
         self._members.tell(members.SetDemand(report.demand))
         if report.ended:
-            self._members.tell(members.AddEnded(report.ended))
+            self._members.tell(members.AddCrashes(report.ended))
         if report.limits:
             self._members.tell(members.AddLimits(report.limits))
         self._tell_node(self._config.read(lambda s: s.offset))
@@ -343,14 +343,14 @@
         return self._receive(req, urgent=True)
 
     def _receive(self, req: web.Request, urgent: bool) -> web.Response:
-        message = news.unpack_exchange(req.read_body())
-        answer: news.Exchange = actors.ask(
+        message = news.unpack_message(req.read_body())
+        answer: news.GossipMessage = actors.ask(
             self._members, members.Received(message, urgent)
         )
         return web.Response(
             200,
             {"Content-Type": web.JSON_TYPE},
-            news.pack_exchange(answer),
+            news.pack_message(answer),
         )
 
     def _get_records(self, req: web.Request) -> web.Response:
@@ -443,7 +443,7 @@
     def _tell_node(self, offset: int, is_urgent: bool = False) -> None:
         self._members.tell(
             members.SetNode(
-                news.NodeNews(
+                news.NodeState(
                     self.address,
                     self._cfg.node.data_centre,
                     self._router.address,
--- a/egretspur/membership/actor.py
+++ b/egretspur/membership/actor.py
@@ -26,38 +26,38 @@
 _LOG: Final = logging.getLogger(__name__)
 
 # Peers that receive an urgent push directly.
-FAN_OUT: Final = 3
+PUSH_FAN_OUT: Final = 3
 
 # Peers kept as contacts in each other data centre.
 REMOTE_CONTACTS: Final = 3
 
 # One exchange in this many goes to another data centre.
-REMOTE_EVERY: Final = 5
+REMOTE_EXCHANGE_INTERVAL: Final = 5
 
 # Leaving marks are kept far longer than the platform's host list can lag.
-LEAVING_KEPT_S: Final = 3600.0
+LEAVING_RETENTION_S: Final = 3600.0
 
 # Routers remember crashes for as long as they run; hosts keep the entries for
 # routers that start later.
-ENDED_KEPT_S: Final = 3600.0
+CRASH_RETENTION_S: Final = 3600.0
 
 # Limits that upstreams reported are passed on for this long.
-LIMIT_KEPT_S: Final = 3600.0
+LIMIT_RETENTION_S: Final = 3600.0
 
 # Separates the fingerprint from the upstream's start in a crash entry's name.
-ENDED_MARK: Final = "@"
+CRASH_SEPARATOR: Final = "@"
 
 # Routers receive the answer to a request that crashed upstreams for this long,
 # about five exchanges.
-ANSWERED_KEPT_S: Final = 10.0
+ANSWER_RETENTION_S: Final = 10.0
 
 # Limit on the workspaces whose demand one host publishes.
-DEMANDS_KEPT: Final = 16
+MAX_DEMAND_ENTRIES: Final = 16
 
 # Kinds of entries that make requests fail until all hosts have them.
-URGENT: Final = (
+URGENT_KINDS: Final = (
     entries.Kind.LEAVING,
-    entries.Kind.ENDED,
+    entries.Kind.CRASHED,
     entries.Kind.LIMIT,
 )
 
@@ -71,22 +71,22 @@
 class Received:
     """A message from a peer; the actor replies with one of its own."""
 
-    message: news.Exchange
+    message: news.GossipMessage
     urgent: bool
 
 
 @attrs.frozen
-class Answered:
+class AnswerReceived:
     """A peer's reply to a message of this host."""
 
-    message: news.Exchange
+    message: news.GossipMessage
 
 
 @attrs.frozen
 class SetNode:
     """This host's own state changed."""
 
-    news: news.NodeNews
+    news: news.NodeState
     # Whether to push the new offset to peers at once.
     is_urgent: bool = False
 
@@ -107,13 +107,13 @@
 
 
 @attrs.frozen
-class AddEnded:
+class AddCrashes:
     """Upstreams that crashed under requests, by request fingerprint.
 
     An empty table means that the request was answered.
     """
 
-    ended: dict[str, dict[str, float]]
+    crashes: dict[str, dict[str, float]]
 
 
 @attrs.frozen
@@ -141,7 +141,7 @@
 
     name: str
     incarnation: int
-    news: news.NodeNews
+    news: news.NodeState
 
 
 @attrs.frozen
@@ -154,7 +154,7 @@
     # Concurrent requests by workspace, then by the host that reported them;
     # without this host's own.
     demand: dict[str, dict[str, int]]
-    # Upstreams that crashed under requests, as in `AddEnded`.
+    # Upstreams that crashed under requests, as in `AddCrashes`.
     ended: dict[str, dict[str, float]]
     limits: dict[str, throttle.Told]
     # Rank of this host among those that follow the log, from 0.
@@ -195,16 +195,18 @@
         self._events = events
         self._random = random.Random(f"{node.name}/{incarnation}")
         self._view = entries.View()
-        self._ages = entries.Ages(
+        self._retention = entries.Retention(
             opts.gone_after_s,
-            LEAVING_KEPT_S,
+            LEAVING_RETENTION_S,
             opts.period_s * 5,
-            ENDED_KEPT_S,
-            LIMIT_KEPT_S,
+            CRASH_RETENTION_S,
+            LIMIT_RETENTION_S,
         )
         self._sequence = 0
         self._round = 0
-        self._news = news.NodeNews(address, node.data_centre, "", 0, 0, False)
+        self._own_state = news.NodeState(
+            address, node.data_centre, "", 0, 0, False
+        )
         # Control addresses from the platform's list, by data centre.
         self._listed: dict[str, dict[str, str]] = {}
         self._sender = sender.Sender(self._queue_answer)
@@ -225,7 +227,7 @@
     @handle.register
     def _(self, message: Tick) -> None:
         now = time.monotonic()
-        entries.drop_old(self._view, self._ages, now)
+        entries.drop_expired(self._view, self._retention, now)
         self._publish_self(now)
         self._round += 1
         address = self._choose_partner()
@@ -233,22 +235,22 @@
             self._send(address, "/peer/exchange", self._make_message(now))
 
     @handle.register
-    def _(self, message: Received) -> news.Exchange:
+    def _(self, message: Received) -> news.GossipMessage:
         now = time.monotonic()
         self._merge_message(message.message, now)
         if message.urgent:
-            return news.Exchange(
-                self._node.name, self._address, self._news.offset, ()
+            return news.GossipMessage(
+                self._node.name, self._address, self._own_state.offset, ()
             )
         return self._make_message(now)
 
     @handle.register
-    def _(self, message: Answered) -> None:
+    def _(self, message: AnswerReceived) -> None:
         self._merge_message(message.message, time.monotonic())
 
     @handle.register
     def _(self, message: SetNode) -> None:
-        self._news = message.news
+        self._own_state = message.news
         if message.is_urgent:
             self._push(())
 
@@ -266,14 +268,14 @@
             message.incarnation,
             now,
         )
-        self._push((entries.Told(entry, 0.0),))
+        self._push((entries.AgedEntry(entry, 0.0),))
         self._events.changed()
 
     @handle.register
     def _(self, message: SetDemand) -> None:
         now = time.monotonic()
         top = sorted(message.demand.items(), key=lambda i: (-i[1], i[0]))
-        for workspace, count in top[:DEMANDS_KEPT]:
+        for workspace, count in top[:MAX_DEMAND_ENTRIES]:
             key = (entries.Kind.DEMAND, workspace, self._node.name)
             old = self._view.known.get(key)
             if old is not None and old.entry.value == str(count):
@@ -283,10 +285,10 @@
             self._publish(entries.Kind.DEMAND, workspace, str(count), now)
 
     @handle.register
-    def _(self, message: AddEnded) -> None:
+    def _(self, message: AddCrashes) -> None:
         known = self._get_crashes()
         published: list[entries.Entry] = []
-        for fingerprint, crashes in message.ended.items():
+        for fingerprint, crashes in message.crashes.items():
             if known.get(fingerprint) == {}:
                 # A router that has not received the answer yet still reports
                 # the crashes before it.
@@ -300,7 +302,7 @@
                         self._publish_crash(fingerprint, start, weight)
                     )
         if published:
-            self._push(tuple(entries.Told(e, 0.0) for e in published))
+            self._push(tuple(entries.AgedEntry(e, 0.0) for e in published))
             self._events.changed()
 
     @handle.register
@@ -316,7 +318,7 @@
                 continue
             value = "" if limit.per_s is None else str(limit.per_s)
             entry = self._publish(entries.Kind.LIMIT, start, value, now_s)
-            published.append(entries.Told(entry, 0.0))
+            published.append(entries.AgedEntry(entry, 0.0))
         if published:
             self._push(tuple(published))
             self._events.changed()
@@ -364,18 +366,18 @@
             self._sender.received_bytes,
         )
 
-    def _merge_message(self, message: news.Exchange, now_s: float) -> None:
-        fresh = entries.merge(self._view, message.told, self._ages, now_s)
-        urgent = [e for e in fresh if e.kind in URGENT]
+    def _merge_message(self, message: news.GossipMessage, now_s: float) -> None:
+        fresh = entries.merge(self._view, message.items, self._retention, now_s)
+        urgent = [e for e in fresh if e.kind in URGENT_KINDS]
         if urgent:
-            self._push(tuple(entries.Told(e, 0.0) for e in urgent))
+            self._push(tuple(entries.AgedEntry(e, 0.0) for e in urgent))
         if any(e.kind is not entries.Kind.NODE for e in fresh):
             self._events.changed()
-        if message.offset > self._news.offset:
+        if message.offset > self._own_state.offset:
             self._events.peer_ahead(message.address, message.offset)
 
     def _publish_self(self, now_s: float) -> None:
-        value = news.pack_node(self._news)
+        value = news.pack_node(self._own_state)
         self._publish(entries.Kind.NODE, self._node.name, value, now_s)
 
     def _publish(
@@ -390,14 +392,17 @@
             self._sequence,
             value,
         )
-        item = entries.Told(entry, 0.0)
-        entries.merge(self._view, [item], self._ages, now_s)
+        item = entries.AgedEntry(entry, 0.0)
+        entries.merge(self._view, [item], self._retention, now_s)
         return entry
 
-    def _make_message(self, now_s: float) -> news.Exchange:
+    def _make_message(self, now_s: float) -> news.GossipMessage:
         chosen = entries.choose(self._view, self._opts.entries, now_s)
-        return news.Exchange(
-            self._node.name, self._address, self._news.offset, tuple(chosen)
+        return news.GossipMessage(
+            self._node.name,
+            self._address,
+            self._own_state.offset,
+            tuple(chosen),
         )
 
     def _choose_partner(self) -> str:
@@ -407,26 +412,30 @@
             if d != self._node.data_centre
             for a in found.values()
         ]
-        if remote and self._round % REMOTE_EVERY == 0:
+        if remote and self._round % REMOTE_EXCHANGE_INTERVAL == 0:
             return self._random.choice(remote)
         local = self._get_local_addresses()
         if not local:
             return self._random.choice(remote) if remote else ""
         return self._random.choice(local)
 
-    def _push(self, items: tuple[entries.Told, ...]) -> None:
-        message = news.Exchange(
-            self._node.name, self._address, self._news.offset, items
+    def _push(self, items: tuple[entries.AgedEntry, ...]) -> None:
+        message = news.GossipMessage(
+            self._node.name, self._address, self._own_state.offset, items
         )
         local = self._get_local_addresses()
-        for address in self._random.sample(local, min(FAN_OUT, len(local))):
+        for address in self._random.sample(
+            local, min(PUSH_FAN_OUT, len(local))
+        ):
             self._send(address, "/peer/push", message)
 
-    def _send(self, address: str, path: str, message: news.Exchange) -> None:
+    def _send(
+        self, address: str, path: str, message: news.GossipMessage
+    ) -> None:
         self._sender.send(sender.OutgoingMessage(address, path, message))
 
-    def _queue_answer(self, message: news.Exchange) -> None:
-        self.actor_ref.tell(Answered(message))
+    def _queue_answer(self, message: news.GossipMessage) -> None:
+        self.actor_ref.tell(AnswerReceived(message))
 
     def _get_local_addresses(self) -> list[str]:
         found = dict(self._listed.get(self._node.data_centre, {}))
@@ -455,8 +464,8 @@
     ) -> entries.Entry:
         """Publishes a crash under a request or, with no start, its answer."""
         return self._publish(
-            entries.Kind.ENDED,
-            f"{fingerprint}{ENDED_MARK}{start}",
+            entries.Kind.CRASHED,
+            f"{fingerprint}{CRASH_SEPARATOR}{start}",
             str(weight),
             time.monotonic(),
         )
@@ -483,16 +492,16 @@
         known = [
             k
             for k in self._view.known.values()
-            if k.entry.kind is entries.Kind.ENDED
+            if k.entry.kind is entries.Kind.CRASHED
         ]
         found: dict[str, dict[str, float]] = {}
         # In order of time, so that an answer clears the crashes before it.
         for item in sorted(known, key=lambda k: k.since_s):
-            fingerprint, _, start = item.entry.name.partition(ENDED_MARK)
+            fingerprint, _, start = item.entry.name.partition(CRASH_SEPARATOR)
             if start:
                 crashes = found.setdefault(fingerprint, {})
                 crashes[start] = float(item.entry.value)
-            elif now_s - item.since_s < ANSWERED_KEPT_S:
+            elif now_s - item.since_s < ANSWER_RETENTION_S:
                 found[fingerprint] = {}
             else:
                 # Passing the answer on later would clear newer crashes.
--- a/egretspur/membership/entries.py
+++ b/egretspur/membership/entries.py
@@ -20,7 +20,7 @@
 # A host sends each entry at most this often. With one message per host and
 # round, log2(n) rounds reach nearly all of n hosts; this is enough for about
 # 4,000 hosts in one data centre.
-PASS_ON: Final = 12
+MAX_SENDS: Final = 12
 
 
 class Kind(enum.Enum):
@@ -35,7 +35,7 @@
     # An upstream crashed under a request, named by the request's fingerprint
     # and the upstream's start; value: its weight. With no start, the request
     # was answered.
-    ENDED = "e"
+    CRASHED = "e"
     # An upstream, named by its start, set a rate limit; value: requests per
     # second, or empty when it lifted the limit.
     LIMIT = "r"
@@ -71,7 +71,7 @@
 
 
 @attrs.frozen
-class Told:
+class AgedEntry:
     """An entry with its age, as sent in a message."""
 
     entry: Entry
@@ -81,25 +81,25 @@
 
 
 @attrs.define
-class Known:
+class StoredEntry:
     """An entry in the view of one host."""
 
     entry: Entry
     # Monotonic time at which the origin published it.
     since_s: float
     # Number of messages in which this host sent it.
-    passed: int = 0
+    send_count: int = 0
 
 
 @attrs.define
 class View:
     """All entries that one host has."""
 
-    known: dict[Key, Known] = attrs.Factory(dict)
+    known: dict[Key, StoredEntry] = attrs.Factory(dict)
 
 
 @attrs.frozen
-class Ages:
+class Retention:
     """Retention of each kind of entry, in seconds."""
 
     node_s: float
@@ -108,22 +108,25 @@
     leaving_s: float
     demand_s: float
     # As long as routers remember a request that crashed upstreams.
-    ended_s: float
+    crashed_s: float
     limit_s: float
 
-    def get_limit(self, kind: Kind) -> float:
+    def get_max_age(self, kind: Kind) -> float:
         """Returns the age beyond which an entry of a kind is dropped."""
         return {
             Kind.NODE: self.node_s,
             Kind.LEAVING: self.leaving_s,
             Kind.DEMAND: self.demand_s,
-            Kind.ENDED: self.ended_s,
+            Kind.CRASHED: self.crashed_s,
             Kind.LIMIT: self.limit_s,
         }[kind]
 
 
 def merge(
-    view: View, told: Iterable[Told], ages: Ages, now_s: float
+    view: View,
+    received: Iterable[AgedEntry],
+    retention: Retention,
+    now_s: float,
 ) -> list[Entry]:
     """Merges the entries of a message into a view.
 
@@ -131,31 +134,31 @@
         The entries that were new or newer than those in the view.
     """
     fresh = []
-    for item in told:
+    for item in received:
         entry = item.entry
-        if item.age_s > ages.get_limit(entry.kind):
+        if item.age_s > retention.get_max_age(entry.kind):
             continue
         old = view.known.get(entry.key)
         if old is not None and old.entry.version >= entry.version:
             continue
-        view.known[entry.key] = Known(entry, now_s - item.age_s)
+        view.known[entry.key] = StoredEntry(entry, now_s - item.age_s)
         fresh.append(entry)
     return fresh
 
 
-def choose(view: View, count: int, now_s: float) -> list[Told]:
+def choose(view: View, count: int, now_s: float) -> list[AgedEntry]:
     """Returns the entries for the next message, least often sent first."""
     best = heapq.nsmallest(
         count,
-        (k for k in view.known.values() if k.passed < PASS_ON),
-        key=lambda k: (k.passed, -k.since_s),
+        (k for k in view.known.values() if k.send_count < MAX_SENDS),
+        key=lambda k: (k.send_count, -k.since_s),
     )
     for item in best:
-        item.passed += 1
-    return [Told(item.entry, now_s - item.since_s) for item in best]
+        item.send_count += 1
+    return [AgedEntry(item.entry, now_s - item.since_s) for item in best]
 
 
-def drop_old(view: View, ages: Ages, now_s: float) -> list[Entry]:
+def drop_expired(view: View, retention: Retention, now_s: float) -> list[Entry]:
     """Drops entries that their origin has not renewed within their retention.
 
     Returns:
@@ -163,7 +166,7 @@
     """
     gone = []
     for key, item in list(view.known.items()):
-        if now_s - item.since_s <= ages.get_limit(item.entry.kind):
+        if now_s - item.since_s <= retention.get_max_age(item.entry.kind):
             continue
         del view.known[key]
         if item.entry.kind is Kind.NODE:
--- a/egretspur/membership/news.py
+++ b/egretspur/membership/news.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class NodeNews:
+class NodeState:
     """State that an entry host publishes about itself."""
 
     # Address of its control daemon.
@@ -32,25 +32,25 @@
 
 
 @attrs.frozen
-class Exchange:
+class GossipMessage:
     """A message of the periodic exchange or of an urgent push."""
 
     sender: str
     address: str
     offset: int
-    told: tuple[entries.Told, ...]
+    items: tuple[entries.AgedEntry, ...]
 
 
-def pack_node(news: NodeNews) -> str:
+def pack_node(state: NodeState) -> str:
     """Encodes a host's state as the value of an entry."""
-    flag = "1" if news.log_reachable else "0"
+    flag = "1" if state.log_reachable else "0"
     return (
-        f"{news.control}|{news.data_centre}|{news.router}|{news.offset}"
-        f"|{news.in_force}|{flag}"
+        f"{state.control}|{state.data_centre}|{state.router}|{state.offset}"
+        f"|{state.in_force}|{flag}"
     )
 
 
-def unpack_node(text: str) -> NodeNews:
+def unpack_node(text: str) -> NodeState:
     """Decodes a host's state from the value of an entry.
 
     Raises:
@@ -60,7 +60,7 @@
     if len(parts) != 6:
         raise codec.DecodeError(f"not node news: {text!r}")
     try:
-        return NodeNews(
+        return NodeState(
             parts[0],
             parts[1],
             parts[2],
@@ -72,19 +72,19 @@
         raise codec.DecodeError(f"not node news: {text!r}") from exc
 
 
-def pack_exchange(message: Exchange) -> bytes:
+def pack_message(message: GossipMessage) -> bytes:
     """Encodes a message as JSON bytes."""
     return codec.dump_json(
         [
             message.sender,
             message.address,
             message.offset,
-            [_pack_told(t) for t in message.told],
+            [_pack_entry(i) for i in message.items],
         ]
     )
 
 
-def unpack_exchange(data: bytes) -> Exchange:
+def unpack_message(data: bytes) -> GossipMessage:
     """Decodes a message from JSON bytes.
 
     Raises:
@@ -92,19 +92,19 @@
     """
     value = codec.load_json(data)
     try:
-        sender, address, offset, told = value
-        return Exchange(
+        sender, address, offset, items = value
+        return GossipMessage(
             str(sender),
             str(address),
             int(offset),
-            tuple(_unpack_told(t) for t in told),
+            tuple(_unpack_entry(i) for i in items),
         )
     except (TypeError, ValueError) as exc:
         raise codec.DecodeError(f"not an exchange: {exc}") from exc
 
 
-def _pack_told(told: entries.Told) -> list[Any]:
-    entry = told.entry
+def _pack_entry(item: entries.AgedEntry) -> list[Any]:
+    entry = item.entry
     # The origin is omitted where it equals the name, as in node entries.
     origin = "" if entry.origin == entry.name else entry.origin
     return [
@@ -114,11 +114,11 @@
         entry.incarnation,
         entry.sequence,
         entry.value,
-        round(told.age_s, 1),
+        round(item.age_s, 1),
     ]
 
 
-def _unpack_told(value: list[Any]) -> entries.Told:
+def _unpack_entry(value: list[Any]) -> entries.AgedEntry:
     kind, name, origin, incarnation, sequence, text, age_s = value
     entry = entries.Entry(
         entries.Kind(kind),
@@ -128,4 +128,4 @@
         int(sequence),
         str(text),
     )
-    return entries.Told(entry, float(age_s))
+    return entries.AgedEntry(entry, float(age_s))
--- a/egretspur/membership/sender.py
+++ b/egretspur/membership/sender.py
@@ -32,13 +32,13 @@
 
     address: str
     path: str
-    message: news.Exchange
+    message: news.GossipMessage
 
 
 class Sender:
     """Sends messages and passes the answers to a callback."""
 
-    def __init__(self, on_answer: Callable[[news.Exchange], None]) -> None:
+    def __init__(self, on_answer: Callable[[news.GossipMessage], None]) -> None:
         self._on_answer = on_answer
         self._transport = transport.Transport(0.5, 1.0)
         self._queue: queue.Queue[OutgoingMessage | None] = queue.Queue(
@@ -84,7 +84,7 @@
             self._deliver(parcel)
 
     def _deliver(self, parcel: OutgoingMessage) -> None:
-        data = news.pack_exchange(parcel.message)
+        data = news.pack_message(parcel.message)
         res = self._transport.call("POST", parcel.address, parcel.path, data)
         self.sent_bytes += len(data)
         if isinstance(res, transport.Failed) or res.status != 200:
@@ -95,6 +95,6 @@
             return
         self.received_bytes += len(res.body)
         try:
-            self._on_answer(news.unpack_exchange(res.body))
+            self._on_answer(news.unpack_message(res.body))
         except codec.DecodeError as exc:
             _LOG.warning("peer's answer is malformed: %s", exc)
--- a/tests/membership/machine.py
+++ b/tests/membership/machine.py
@@ -14,8 +14,12 @@
 
 HOSTS = 4
 HOST = st.integers(0, HOSTS - 1)
-AGES = entries.Ages(
-    node_s=20.0, leaving_s=3600.0, demand_s=10.0, ended_s=3600.0, limit_s=3600.0
+AGES = entries.Retention(
+    node_s=20.0,
+    leaving_s=3600.0,
+    demand_s=10.0,
+    crashed_s=3600.0,
+    limit_s=3600.0,
 )
 
 
@@ -31,7 +35,7 @@
         self.incarnation = [1] * HOSTS
         self.last_beat = [0.0] * HOSTS
         # Messages on their way: receiver, sent at, entries.
-        self.under_way: list[tuple[int, float, list[entries.Told]]] = []
+        self.under_way: list[tuple[int, float, list[entries.AgedEntry]]] = []
         self.newest: dict[tuple[int, entries.Key], tuple[int, int]] = {}
         self.marks: list[entries.Key] = []
 
@@ -92,7 +96,7 @@
         """Time passes; messages take two seconds at most."""
         self.now += seconds
         for view in self.views:
-            entries.drop_old(view, AGES, self.now)
+            entries.drop_expired(view, AGES, self.now)
         self.under_way = [m for m in self.under_way if self.now - m[1] <= 2.0]
 
     @stateful.invariant()
@@ -125,9 +129,9 @@
             for key in self.marks
             for i in live
             if key in self.views[i].known
-            and self.views[i].known[key].passed < 3
+            and self.views[i].known[key].send_count < 3
         }
-        for _ in range(entries.PASS_ON):
+        for _ in range(entries.MAX_SENDS):
             for i in live:
                 for j in live:
                     if i != j:
@@ -147,7 +151,7 @@
             self.sequence[who],
             "",
         )
-        told = [entries.Told(entry, 0.0)]
+        told = [entries.AgedEntry(entry, 0.0)]
         entries.merge(self.views[who], told, AGES, self.now)
         return entry
 
--- a/tests/steps/crashing_router_steps.py
+++ b/tests/steps/crashing_router_steps.py
@@ -193,7 +193,7 @@
     first, second = context.members
     for sender, receiver in ((first, second), (second, first)):
         message = sender.handle(
-            membership.Received(peers.Exchange("x", "", 0, ()), False)
+            membership.Received(peers.GossipMessage("x", "", 0, ()), False)
         )
         receiver.handle(membership.Received(message, False))
 
@@ -201,7 +201,7 @@
 @when("the router of the first reports {count:d} ends under a request")
 def step_reports(context: Any, count: int) -> None:
     context.ends = {f"start-{i}": 1.0 for i in range(count)}
-    added = membership.AddEnded({crashes.FATAL: context.ends})
+    added = membership.AddCrashes({crashes.FATAL: context.ends})
     context.members[0].handle(added)
     exchange(context)
 
@@ -214,10 +214,10 @@
 
 @when("the router of the other reports that it was answered")
 def step_reports_answer(context: Any) -> None:
-    context.members[1].handle(membership.AddEnded({crashes.FATAL: {}}))
+    context.members[1].handle(membership.AddCrashes({crashes.FATAL: {}}))
     exchange(context)
     # Its router has yet to hear of it.
-    late = membership.AddEnded({crashes.FATAL: context.ends})
+    late = membership.AddCrashes({crashes.FATAL: context.ends})
     context.members[0].handle(late)
     exchange(context)
 
