--- a/tests/membership/exchange.feature
+++ b/tests/membership/exchange.feature
@@ -1,6 +1,6 @@
-Feature: What hosts tell each other of their requests
+Feature: Peer updates about requests in flight
 
-  Scenario: A datagram carries everything
+  Scenario: A datagram carries all fields
     Given news with requests in flight, slow and dead engines and layers
     When it is sent as a datagram
     Then the same news is read from it
@@ -11,17 +11,17 @@
     Then each is refused, also after a whole one
 
   @fuzz
-  Scenario: What a datagram says does not depend on the one before it
-    # Guards against parts taken from a host's former datagram.
+  Scenario: A datagram is decoded independently of the one before it
+    # Guards against changed fields taken from a host's former datagram.
     When hosts tell any news, one after the other
     Then each is read as it was told
 
   Scenario: Datagrams of very many hosts
-    # Guards against memory that grows with every address that was ever told.
+    # Guards against memory that grows with every address ever received.
     When more hosts tell something than are kept
     Then the last datagrams of no more are in memory
 
-  Scenario Outline: A datagram that is no news
+  Scenario Outline: A datagram that is not a peer update
     When the datagram "<bytes>" is read
     Then it is ignored
 
@@ -32,8 +32,8 @@
       | {"host": "a"}                  |
       | ["10.1.0.1","b",0,[1,2,3,0],{},{},[],{},{},{}]|
 
-  Scenario Outline: A datagram with one field that can't be
-    # Guards against news that raise where they are first computed with.
+  Scenario Outline: A datagram with one invalid field
+    # Guards against updates that raise an exception only when they are used.
     Given news with requests in flight, slow and dead engines and layers
     When field <place> of its datagram is <value>
     Then it is refused for its "<field>"
@@ -60,15 +60,15 @@
       | 14    | {"x":[-1,0,0]}  | limits      |
 
   Scenario: Hosts that know one seed find each other
-    # Symptom: request memory is given out several times over. Cause: hosts
-    # that don't hear each other count only their own requests.
+    # Guards against key-value cache that is assigned several times over: hosts
+    # without each other's updates count only their own requests.
     Given three hosts on this machine of which two know only the first
     Then within 5 s each hears the other two
     And each knows what the others have in flight
 
-  Scenario: A host that is cut off keeps to its part of the repeats
-    # Symptom: three times the repeats allowed. Sequence: hosts lose each other
-    # and each takes the whole budget.
+  Scenario: A host that is cut off keeps to its part of the retry budget
+    # Guards against three times the allowed retries: hosts lose each other and
+    # each takes the whole retry budget.
     Given a host that has heard of 7 others
     When for 10 s it hears one of them
     Then 8 hosts share the repeats
@@ -77,13 +77,13 @@
     When for 600 s it hears one of them
     Then 2 hosts share the repeats
 
-  Scenario: A host that starts behind a cut
-    # Guards against a start that takes its own data centre for all there are.
+  Scenario: A host that starts during a network partition
+    # Guards against a host that takes its own data centre for the only one.
     Given a host of one of 3 data centres that has heard of 7 others in its own
     Then 24 hosts share the repeats
 
-  Scenario Outline: Who reads the store for the others
-    # Symptom: calls to the store grow with the hosts.
+  Scenario Outline: Which host reads the store for the others
+    # Guards against calls to the store that grow with the hosts.
     Given host "10.1.0.20" in "kl-hall"
     And it heard of host "<peer>" in "<data centre>" <age> s ago, whose store answered <store> s ago
     Then it <verdict> read for the others
@@ -96,10 +96,10 @@
       | 10.1.0.9  | kl-hall     | 0.3 | 1.3   | must     |
       | 10.2.0.9  | pg-hall     | 0.3 | 0.5   | must     |
 
-  Scenario Outline: A store that is away from hundreds of hosts
-    # Symptom: a third of all calls to the store of a day are made while it is
-    # down, and refused. Sequence: nobody's list is fresh, so that every host
-    # reads for the others, three topics, once a second.
+  Scenario Outline: A store that hundreds of hosts can't reach
+    # Guards against a third of a day's calls to the store being made, and
+    # refused, while it is down: no host's list is fresh, so every host reads
+    # three topics for the others once a second.
     Given <hosts> hosts of a data centre that hear each other and have no answer
     Then in each second 3 of them read, and <drawn> others in the mean
     And within <seconds> s each has read, so that one that is served finds out
@@ -109,9 +109,9 @@
       | 28    | 2     | 150     |
       | 195   | 2     | 1500    |
 
-  Scenario Outline: What a host reads that doesn't read for the others
-    # Symptom: work reaches an upstream for six seconds after it left. Cause:
-    # a host that is told of another list and doesn't read.
+  Scenario Outline: When a host that is not the reader reads the store
+    # Guards against requests that reach an upstream for six seconds after it
+    # left: a host learns of another list and doesn't read it.
     Given a host with version 3, digest 10, read 4 s ago
     When it hears of version <version>, digest <digest>, read <age> s ago
     Then it reads "<what>"
@@ -125,8 +125,9 @@
       | 2       | 11     | 3.0 | nothing            |
 
   Scenario: Bytes between data centres
-    # Symptom: at 78 hosts the exchange costs an eighth of a day's worth. Cause:
-    # every host told every other, so bytes grew with the square of the hosts.
+    # Guards against bytes that grow with the square of the hosts because every
+    # host sends to every other: at 78 hosts the exchange cost an eighth of a
+    # day's worth.
     Given host "10.1.0.20" in "kl-hall"
     And hosts 10.1.0.30, 10.1.0.31 of kl-hall that were heard now
     And hosts 10.2.0.4, 10.2.0.5 of pg-hall that were heard now
@@ -136,31 +137,32 @@
     Then it does not speak
 
   Scenario: Bytes between data centres of many hosts
-    # Symptom: 0.21 GB between data centres a day at 195 hosts, nearly all of
-    # it news. Cause: a speaker told each host of the others by itself.
+    # Guards against 0.21 GB between data centres a day at 195 hosts, nearly all
+    # of it peer updates: a speaker sent to each host of the other data centres.
     Given host "10.1.0.20" in "kl-hall"
     And hosts 10.2.0.4 of pg-hall that were heard now
     And 39 more hosts of pg-hall that it only knows of
     Then it tells 10.2.0.4 of them and one more
 
-  Scenario: A data centre none of whose hosts speaks
+  Scenario: A data centre without a speaker
     Given host "10.1.0.20" in "kl-hall"
     And 39 more hosts of pg-hall that it only knows of
     Then it tells 39 of them
 
-  Scenario: News of another data centre are passed on
+  Scenario: Updates from another data centre are forwarded
     Given a host of kl-hall and four of pg-hall on this machine, and no spares
     When all have heard of each other
     Then the one of kl-hall tells one of pg-hall
     And all four go on hearing of it
 
-  Scenario: Datagrams that come together
-    # Symptom: among 78 hosts a host spends most of its time on waking up.
+  Scenario: Datagrams that arrive together
+    # Guards against a host that spends most of its time on waking up, at 78
+    # hosts.
     Given a host that takes news
     When 30 hosts send it datagrams at once, one of them malformed
     Then it hears 29 hosts, in fewer than 10 goes
 
-  Scenario Outline: Who asks for the duty
+  Scenario Outline: Which hosts ask for the duty
     Given host "10.1.0.20" in "kl-hall"
     And hosts <near> of kl-hall that were heard now
     And hosts 10.0.0.1, 10.0.0.2, 10.0.0.3 of pg-hall that were heard now
@@ -171,10 +173,10 @@
       | 10.1.0.5, 10.1.0.6, 10.1.0.30               | does     |
       | 10.1.0.5, 10.1.0.6, 10.1.0.7                | does not |
 
-  Scenario Outline: A store that others near by have
-    # Symptom: layers that an engine reported once are told to all hosts for
-    # ever, and requests go to layers that it gave up. Cause: a host that does
-    # not ask the store took it for away.
+  Scenario Outline: A store that other hosts of the data centre reach
+    # Guards against layers that an engine reported once and that are sent to all
+    # hosts for ever, so that requests go to layers that it has released: a host
+    # that does not ask the store took it for unreachable.
     Given host "10.1.0.20" in "kl-hall"
     And it heard of host "<peer>" in "<data centre>" 0.3 s ago, whose store answered <store> s ago
     Then the store <verdict> to be away for it, asked <age> s ago
@@ -186,9 +188,9 @@
       | 10.1.0.5 | kl-hall     | 9     | 0.5 | does not seem |
       | 10.2.0.5 | pg-hall     | 0.5   | 60  | counts       |
 
-  Scenario: Whom hosts ask for a configuration
-    # Symptom: after a change the host that reads the store is busy for seconds
-    # with handing it to forty others. Cause: all asked the same one.
+  Scenario: Which hosts are asked for a configuration
+    # Guards against a reader that is busy for seconds after a change: forty
+    # others all asked the same host for the configuration.
     Given host "10.1.0.20" in "kl-hall"
     And it heard now that 30 hosts have version 3
     And it heard now that 4 hosts have version 4
--- a/tests/membership/fuzz.feature
+++ b/tests/membership/fuzz.feature
@@ -1,9 +1,9 @@
 @fuzz
-Feature: What entry hosts tell each other
+Feature: Gossip between entry hosts
 
-  Scenario: Entries keep their order and the dead are forgotten
-    # Symptom: a dead host is listed for ever, or an old mark comes back.
-    # Sequence: late and lost messages, replaced hosts, time. Cause: entries
-    # that become young again at each receiver, or taken in order of arrival.
+  Scenario: Newer entries win and dead hosts are forgotten
+    # Guards against a dead host that is listed for ever and an old mark that
+    # returns, after late or lost messages and replaced hosts: entries looked
+    # new to each receiver, or were applied in order of arrival.
     When the membership machine runs 200 histories of 60 steps
     Then the oracle found nothing
--- a/tests/membership/machine.py
+++ b/tests/membership/machine.py
@@ -1,8 +1,8 @@
-"""Fuzzing of what entry hosts tell each other against an oracle.
+"""Fuzzing of the gossip between entry hosts against an oracle.
 
-The oracle, in a few lines: a newer entry never gives way to an older one; a
-host that is gone is forgotten everywhere within a bounded time although the
-others keep talking; a mark reaches all that can talk to each other.
+The oracle checks that an older entry never replaces a newer one; that all hosts
+forget a dead host within a bounded time while they keep exchanging messages;
+and that a leaving mark reaches all hosts that can exchange messages.
 """
 
 from __future__ import annotations
@@ -33,39 +33,41 @@
         self.alive = [True] * HOSTS
         self.sequence = [0] * HOSTS
         self.incarnation = [1] * HOSTS
-        self.last_beat = [0.0] * HOSTS
-        # Messages on their way: receiver, sent at, entries.
-        self.under_way: list[tuple[int, float, list[entries.AgedEntry]]] = []
+        self.last_heartbeat = [0.0] * HOSTS
+        # Messages in transit: receiver, time sent, entries.
+        self.in_transit: list[tuple[int, float, list[entries.AgedEntry]]] = []
         self.newest: dict[tuple[int, entries.Key], tuple[int, int]] = {}
         self.marks: list[entries.Key] = []
 
     @stateful.rule(who=HOST)
     def beat(self, who: int) -> None:
-        """A live host states that it lives."""
+        """A live host publishes its node entry."""
         if self.alive[who]:
-            self.last_beat[who] = self.now
-            self._state(who, entries.Kind.NODE, f"h{who}")
+            self.last_heartbeat[who] = self.now
+            self._publish_entry(who, entries.Kind.NODE, f"h{who}")
 
     @stateful.rule(who=HOST, number=st.integers(1, 3))
     def mark(self, who: int, number: int) -> None:
-        """A host states that an upstream is leaving."""
+        """A host publishes that an upstream is leaving."""
         if self.alive[who]:
-            entry = self._state(who, entries.Kind.LEAVING, f"u@{number}")
+            entry = self._publish_entry(
+                who, entries.Kind.LEAVING, f"u@{number}"
+            )
             self.marks.append(entry.key)
 
     @stateful.rule(who=HOST, to=HOST, later=st.booleans())
     def send(self, who: int, to: int, later: bool) -> None:
-        """A host sends what it passes on; it may arrive late."""
+        """A host sends its next message, which may arrive late."""
         if not self.alive[who] or who == to:
             return
-        told = entries.choose(self.views[who], 6, self.now)
-        self.under_way.append((to, self.now, told))
+        items = entries.choose(self.views[who], 6, self.now)
+        self.in_transit.append((to, self.now, items))
         if not later:
-            self._arrive(len(self.under_way) - 1)
+            self._deliver(len(self.in_transit) - 1)
 
     @stateful.rule(rounds=st.integers(1, 6), step=st.integers(1, 3))
     def talk(self, rounds: int, step: int) -> None:
-        """Live hosts talk in turn for some rounds of two seconds."""
+        """Live hosts send in turn for some rounds of two seconds."""
         for _ in range(rounds):
             for who in range(HOSTS):
                 self.beat(who)
@@ -74,16 +76,16 @@
 
     @stateful.rule(number=st.integers(0, 20), lost=st.booleans())
     def arrive(self, number: int, lost: bool) -> None:
-        """A late message arrives or is lost."""
-        if number < len(self.under_way):
+        """A message in transit arrives or is lost."""
+        if number < len(self.in_transit):
             if lost:
-                self.under_way.pop(number)
+                self.in_transit.pop(number)
             else:
-                self._arrive(number)
+                self._deliver(number)
 
     @stateful.rule(who=HOST)
     def die(self, who: int) -> None:
-        """A host dies or its successor takes its name."""
+        """A host dies, or a replacement starts under its name."""
         self.alive[who] = not self.alive[who]
         if self.alive[who]:
             self.incarnation[who] += 1
@@ -93,20 +95,20 @@
 
     @stateful.rule(seconds=st.sampled_from([0.5, 2.0, 6.0]))
     def pass_time(self, seconds: float) -> None:
-        """Time passes; messages take two seconds at most."""
+        """Advances the time; messages take two seconds at most."""
         self.now += seconds
         for view in self.views:
             entries.drop_expired(view, AGES, self.now)
-        self.under_way = [m for m in self.under_way if self.now - m[1] <= 2.0]
+        self.in_transit = [m for m in self.in_transit if self.now - m[1] <= 2.0]
 
     @stateful.invariant()
     def dead_hosts_are_forgotten(self) -> None:
-        """Checks that no view holds a host long silent."""
-        # Each late hop can make an entry younger by the time it was under
-        # way, two seconds at most; it is passed on by few hops.
+        """Checks that no view has a host that has been silent for long."""
+        # Each late hop can make an entry younger by its time in transit, two
+        # seconds at most; an entry takes only a few hops.
         limit = AGES.node_s + 2.0 * 2 * HOSTS
         for who in range(HOSTS):
-            if self.now - self.last_beat[who] <= limit:
+            if self.now - self.last_heartbeat[who] <= limit:
                 continue
             for view in self.views:
                 names = [e.name for e in entries.find(view, entries.Kind.NODE)]
@@ -114,7 +116,7 @@
 
     @stateful.invariant()
     def versions_only_rise(self) -> None:
-        """Checks that no host forgets a newer entry for an older one."""
+        """Checks that no host replaces a newer entry by an older one."""
         for number, view in enumerate(self.views):
             for key, known in view.known.items():
                 old = self.newest.get((number, key), (0, 0))
@@ -122,7 +124,7 @@
                 self.newest[number, key] = known.entry.version
 
     def teardown(self) -> None:
-        """Lets all live hosts talk: every mark is known to all."""
+        """Checks that every mark reaches all live hosts once they exchange."""
         live = [i for i in range(HOSTS) if self.alive[i]]
         holders = {
             key
@@ -135,13 +137,15 @@
             for i in live:
                 for j in live:
                     if i != j:
-                        told = entries.choose(self.views[i], 6, self.now)
-                        entries.merge(self.views[j], told, AGES, self.now)
+                        items = entries.choose(self.views[i], 6, self.now)
+                        entries.merge(self.views[j], items, AGES, self.now)
         for key in holders:
             for i in live:
                 assert key in self.views[i].known, key
 
-    def _state(self, who: int, kind: entries.Kind, name: str) -> entries.Entry:
+    def _publish_entry(
+        self, who: int, kind: entries.Kind, name: str
+    ) -> entries.Entry:
         self.sequence[who] += 1
         entry = entries.Entry(
             kind,
@@ -151,11 +155,11 @@
             self.sequence[who],
             "",
         )
-        told = [entries.AgedEntry(entry, 0.0)]
-        entries.merge(self.views[who], told, AGES, self.now)
+        items = [entries.AgedEntry(entry, 0.0)]
+        entries.merge(self.views[who], items, AGES, self.now)
         return entry
 
-    def _arrive(self, number: int) -> None:
-        to, _, told = self.under_way.pop(number)
+    def _deliver(self, number: int) -> None:
+        to, _, items = self.in_transit.pop(number)
         if self.alive[to]:
-            entries.merge(self.views[to], told, AGES, self.now)
+            entries.merge(self.views[to], items, AGES, self.now)
