--- a/egretspur/membership/datagrams.py
+++ b/egretspur/membership/datagrams.py
@@ -146,7 +146,7 @@
                 codec.load_json(data), "news", len(_FIELD_DECODERS)
             )
             host = _check_host(row[0])
-            told = _decode_changed_fields(
+            latest = _decode_changed_fields(
                 row, self._last.pop(host, _NO_DATAGRAM)
             )
         except checks.FieldError as exc:
@@ -155,8 +155,8 @@
             return InvalidUpdate("bytes", str(exc))
         if len(self._last) >= MAX_CACHED_HOSTS:
             del self._last[next(iter(self._last))]
-        self._last[host] = told
-        return PeerUpdate(*told.decoded)
+        self._last[host] = latest
+        return PeerUpdate(*latest.decoded)
 
 
 @attrs.frozen(eq=False)
--- a/egretspur/membership/entries.py
+++ b/egretspur/membership/entries.py
@@ -26,7 +26,7 @@
 class Kind(enum.Enum):
     """Kind of an entry; determines its name and value."""
 
-    # An entry host is alive; value: `egretspur.membership.news.NodeNews`.
+    # An entry host is alive; value: `egretspur.membership.news.NodeState`.
     NODE = "n"
     # An incarnation of an upstream is leaving; value: the incarnation.
     LEAVING = "l"
--- a/egretspur/membership/exchange.py
+++ b/egretspur/membership/exchange.py
@@ -50,8 +50,8 @@
 # spends retries.
 BUDGET_SHARE_EXPIRY_S: Final = 300.0
 
-# Hosts of another data centre that receive updates in addition to its speakers,
-# so that one of them does while a new speaker takes over from a dead one.
+# Hosts of another data centre that receive updates in addition to its speakers.
+# If its speaker has died, these receive them until another one takes over.
 SPARE_CONTACTS: Final = 1
 
 # Hosts that sent an update within this time are listed to others.
--- a/egretspur/membership/news.py
+++ b/egretspur/membership/news.py
@@ -58,7 +58,7 @@
     """
     parts = text.split("|")
     if len(parts) != 6:
-        raise codec.DecodeError(f"not node news: {text!r}")
+        raise codec.DecodeError(f"malformed node state: {text!r}")
     try:
         return NodeState(
             parts[0],
@@ -69,7 +69,7 @@
             parts[5] == "1",
         )
     except ValueError as exc:
-        raise codec.DecodeError(f"not node news: {text!r}") from exc
+        raise codec.DecodeError(f"malformed node state: {text!r}") from exc
 
 
 def pack_message(message: GossipMessage) -> bytes:
@@ -100,7 +100,7 @@
             tuple(_unpack_entry(i) for i in items),
         )
     except (TypeError, ValueError) as exc:
-        raise codec.DecodeError(f"not an exchange: {exc}") from exc
+        raise codec.DecodeError(f"malformed gossip message: {exc}") from exc
 
 
 def _pack_entry(item: entries.AgedEntry) -> list[Any]:
--- a/tests/membership/exchange.feature
+++ b/tests/membership/exchange.feature
@@ -1,25 +1,25 @@
 Feature: Peer updates about requests in flight
 
   Scenario: A datagram carries all fields
-    Given news with requests in flight, slow and dead engines and layers
+    Given an update with requests in flight, slow and dead engines and layers
     When it is sent as a datagram
-    Then the same news is read from it
+    Then the same update is decoded from it
 
   Scenario: A datagram with one field of another type
-    Given news with requests in flight, slow and dead engines and layers
+    Given an update with requests in flight, slow and dead engines and layers
     When one field of its datagram after the other is of another type
     Then each is refused, also after a whole one
 
   @fuzz
   Scenario: A datagram is decoded independently of the one before it
     # Guards against changed fields taken from a host's former datagram.
-    When hosts tell any news, one after the other
-    Then each is read as it was told
+    When hosts send arbitrary updates, one after the other
+    Then each is decoded as it was sent
 
   Scenario: Datagrams of very many hosts
     # Guards against memory that grows with every address ever received.
-    When more hosts tell something than are kept
-    Then the last datagrams of no more are in memory
+    When more hosts send updates than are cached
+    Then only as many last datagrams are in memory as are cached
 
   Scenario Outline: A datagram that is not a peer update
     When the datagram "<bytes>" is read
@@ -34,7 +34,7 @@
 
   Scenario Outline: A datagram with one invalid field
     # Guards against updates that raise an exception only when they are used.
-    Given news with requests in flight, slow and dead engines and layers
+    Given an update with requests in flight, slow and dead engines and layers
     When field <place> of its datagram is <value>
     Then it is refused for its "<field>"
 
@@ -71,16 +71,16 @@
     # each takes the whole retry budget.
     Given a host that has heard of 7 others
     When for 10 s it hears one of them
-    Then 8 hosts share the repeats
+    Then 8 hosts share the retry budget
     When for 600 s it hears nobody
-    Then 8 hosts share the repeats
+    Then 8 hosts share the retry budget
     When for 600 s it hears one of them
-    Then 2 hosts share the repeats
+    Then 2 hosts share the retry budget
 
   Scenario: A host that starts during a network partition
     # Guards against a host that takes its own data centre for the only one.
     Given a host of one of 3 data centres that has heard of 7 others in its own
-    Then 24 hosts share the repeats
+    Then 24 hosts share the retry budget
 
   Scenario Outline: Which host reads the store for the others
     # Guards against calls to the store that grow with the hosts.
@@ -134,7 +134,7 @@
     Then it sends to 10.1.0.30, 10.1.0.31 each time
     And as speaker to 10.2.0.4, 10.2.0.5
     Given hosts 10.1.0.10 of kl-hall that were heard now
-    Then it does not speak
+    Then it is not the speaker
 
   Scenario: Bytes between data centres of many hosts
     # Guards against 0.21 GB between data centres a day at 195 hosts, nearly all
@@ -142,25 +142,25 @@
     Given host "10.1.0.20" in "kl-hall"
     And hosts 10.2.0.4 of pg-hall that were heard now
     And 39 more hosts of pg-hall that it only knows of
-    Then it tells 10.2.0.4 of them and one more
+    Then it sends to 10.2.0.4 of them and one more
 
   Scenario: A data centre without a speaker
     Given host "10.1.0.20" in "kl-hall"
     And 39 more hosts of pg-hall that it only knows of
-    Then it tells 39 of them
+    Then it sends to 39 of them
 
   Scenario: Updates from another data centre are forwarded
     Given a host of kl-hall and four of pg-hall on this machine, and no spares
     When all have heard of each other
-    Then the one of kl-hall tells one of pg-hall
-    And all four go on hearing of it
+    Then the host of kl-hall sends to one of pg-hall
+    And all four keep receiving its updates
 
   Scenario: Datagrams that arrive together
     # Guards against a host that spends most of its time on waking up, at 78
     # hosts.
-    Given a host that takes news
+    Given a host that receives updates
     When 30 hosts send it datagrams at once, one of them malformed
-    Then it hears 29 hosts, in fewer than 10 goes
+    Then it receives 29 updates, in fewer than 10 batches
 
   Scenario Outline: Which hosts ask for the duty
     Given host "10.1.0.20" in "kl-hall"
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the duty and on what hosts tell each other."""
+"""Steps on the duty and on peer updates."""
 
 from __future__ import annotations
 
@@ -270,7 +270,7 @@
     assert not context.member.is_held()
 
 
-@given("news with requests in flight, slow and dead engines and layers")
+@given("an update with requests in flight, slow and dead engines and layers")
 def step_news(context: Any) -> None:
     context.news = datagrams.PeerUpdate(
         "10.1.0.4",
@@ -291,7 +291,7 @@
     context.read = read_alone(datagrams.encode_update(context.news))
 
 
-@then("the same news is read from it")
+@then("the same update is decoded from it")
 def step_same(context: Any) -> None:
     assert context.read == context.news, context.read
 
@@ -347,7 +347,7 @@
         assert isinstance(found, datagrams.InvalidUpdate), (place, wrong, found)
 
 
-@when("hosts tell any news, one after the other")
+@when("hosts send arbitrary updates, one after the other")
 def step_any_news(context: Any) -> None:
     usage = st.dictionaries(
         st.sampled_from(("i-1", "i-2")),
@@ -381,12 +381,12 @@
     check()
 
 
-@then("each is read as it was told")
+@then("each is decoded as it was sent")
 def step_each_read(context: Any) -> None:
     assert context.checked > 300, context.checked
 
 
-@when("more hosts tell something than are kept")
+@when("more hosts send updates than are cached")
 def step_many_hosts(context: Any) -> None:
     context.decoder = datagrams.Decoder()
     for i in range(datagrams.MAX_CACHED_HOSTS + 10):
@@ -394,7 +394,7 @@
         assert context.decoder.decode(datagrams.encode_update(news)) == news
 
 
-@then("the last datagrams of no more are in memory")
+@then("only as many last datagrams are in memory as are cached")
 def step_kept(context: Any) -> None:
     (last,) = [
         v for v in gc.get_referents(context.decoder) if isinstance(v, dict)
@@ -427,14 +427,14 @@
     context.peers.record_update(attrs.evolve(teller, peers=peers), 100.0)
 
 
-@then("it tells {host} of them and one more")
+@then("it sends to {host} of them and one more")
 def step_tells_one(context: Any, host: str) -> None:
     told = context.peers.list_remote(100.1)
     assert len(told) == 2
     assert host in told
 
 
-@then("it tells {count:d} of them")
+@then("it sends to {count:d} of them")
 def step_tells_all(context: Any, count: int) -> None:
     assert len(context.peers.list_remote(100.1)) == count
 
@@ -476,13 +476,13 @@
     )
 
 
-@then("the one of kl-hall tells one of pg-hall")
+@then("the host of kl-hall sends to one of pg-hall")
 def step_tells(context: Any) -> None:
     first = context.play.exchanges[0]
     assert first._peers.list_remote(time.monotonic()) == ["127.0.0.2"]
 
 
-@then("all four go on hearing of it")
+@then("all four keep receiving its updates")
 def step_passed_on(context: Any) -> None:
     first = "127.0.0.1"
     others = [h for ip, h in context.play.heard.items() if ip != first]
@@ -493,7 +493,7 @@
     )
 
 
-@then("it does not speak")
+@then("it is not the speaker")
 def step_no_speaker(context: Any) -> None:
     assert not context.peers.is_speaker(100.1)
 
@@ -597,13 +597,13 @@
         context.peers.list_local(101.0 + i)
 
 
-@then("{count:d} hosts share the repeats")
+@then("{count:d} hosts share the retry budget")
 def step_share(context: Any, count: int) -> None:
     sharing = context.peers.count_budget_sharers()
     assert sharing == count, sharing
 
 
-@given("a host that takes news")
+@given("a host that receives updates")
 def step_taker(context: Any) -> None:
     context.play = Talkers()
     context.goes = []
@@ -630,7 +630,7 @@
         sock.sendto(b"[]", (IPS[0], context.port))
 
 
-@then("it hears {count:d} hosts, in fewer than {goes:d} goes")
+@then("it receives {count:d} updates, in fewer than {goes:d} batches")
 def step_goes(context: Any, count: int, goes: int) -> None:
     stage.wait_until(
         lambda: sum(len(g) for g in context.goes) == count, 5.0, "all heard"
