--- a/egretspur/membership/news.py
+++ b/egretspur/membership/news.py
@@ -1,7 +1,7 @@
-"""Messages between control daemons, and their compact JSON form.
+"""Gossip messages between control daemons and their compact JSON encoding.
 
-Entries are written as lists without field names: at 24 entries a message the
-names would be two thirds of the bytes.
+Entries are encoded as lists without field names: with 24 entries in a message,
+the names would be two thirds of the bytes.
 """
 
 from __future__ import annotations
@@ -15,52 +15,52 @@
 
 
 @attrs.frozen
-class NodeNews:
-    """What an entry host says of itself."""
+class NodeState:
+    """State that an entry host publishes about itself."""
 
     # Address of its control daemon.
     control: str
     data_centre: str
-    # Address of its router; empty until it has reported.
+    # Address of its router; empty until the router has reported.
     router: str
-    # Offset of the configuration it has folded.
+    # Offset of the log up to which it has applied the configuration.
     offset: int
-    # Offset that its router has in force.
+    # Offset of the configuration that its router uses.
     in_force: int
-    # False if it can't read the platform's log.
+    # False if the host can't read the platform's log.
     log_reachable: bool
 
 
 @attrs.frozen
-class Exchange:
-    """One message of the periodic exchange, or an urgent push."""
+class GossipMessage:
+    """A message of the periodic exchange or of an urgent push."""
 
     sender: str
     address: str
     offset: int
-    told: tuple[entries.Told, ...]
+    items: tuple[entries.AgedEntry, ...]
 
 
-def pack_node(news: NodeNews) -> str:
-    """Returns the news as the value of an entry."""
-    flag = "1" if news.log_reachable else "0"
+def pack_node(state: NodeState) -> str:
+    """Encodes a host's state as the value of an entry."""
+    flag = "1" if state.log_reachable else "0"
     return (
-        f"{news.control}|{news.data_centre}|{news.router}|{news.offset}"
-        f"|{news.in_force}|{flag}"
+        f"{state.control}|{state.data_centre}|{state.router}|{state.offset}"
+        f"|{state.in_force}|{flag}"
     )
 
 
-def unpack_node(text: str) -> NodeNews:
-    """Returns the news from the value of an entry.
+def unpack_node(text: str) -> NodeState:
+    """Decodes a host's state from the value of an entry.
 
     Raises:
         codec.DecodeError: The text has another form.
     """
     parts = text.split("|")
     if len(parts) != 6:
-        raise codec.DecodeError(f"not node news: {text!r}")
+        raise codec.DecodeError(f"malformed node state: {text!r}")
     try:
-        return NodeNews(
+        return NodeState(
             parts[0],
             parts[1],
             parts[2],
@@ -69,43 +69,43 @@
             parts[5] == "1",
         )
     except ValueError as exc:
-        raise codec.DecodeError(f"not node news: {text!r}") from exc
+        raise codec.DecodeError(f"malformed node state: {text!r}") from exc
 
 
-def pack_exchange(message: Exchange) -> bytes:
-    """Returns a message as JSON bytes."""
+def pack_message(message: GossipMessage) -> bytes:
+    """Encodes a message as JSON bytes."""
     return codec.dump_json(
         [
             message.sender,
             message.address,
             message.offset,
-            [_pack_told(t) for t in message.told],
+            [_pack_entry(i) for i in message.items],
         ]
     )
 
 
-def unpack_exchange(data: bytes) -> Exchange:
-    """Returns a message from JSON bytes.
+def unpack_message(data: bytes) -> GossipMessage:
+    """Decodes a message from JSON bytes.
 
     Raises:
         codec.DecodeError: The bytes have another form.
     """
     value = codec.load_json(data)
     try:
-        sender, address, offset, told = value
-        return Exchange(
+        sender, address, offset, items = value
+        return GossipMessage(
             str(sender),
             str(address),
             int(offset),
-            tuple(_unpack_told(t) for t in told),
+            tuple(_unpack_entry(i) for i in items),
         )
     except (TypeError, ValueError) as exc:
-        raise codec.DecodeError(f"not an exchange: {exc}") from exc
+        raise codec.DecodeError(f"malformed gossip message: {exc}") from exc
 
 
-def _pack_told(told: entries.Told) -> list[Any]:
-    entry = told.entry
-    # A node's own news repeats its name as origin; it is left out.
+def _pack_entry(item: entries.AgedEntry) -> list[Any]:
+    entry = item.entry
+    # The origin is omitted where it equals the name, as in node entries.
     origin = "" if entry.origin == entry.name else entry.origin
     return [
         entry.kind.value,
@@ -114,11 +114,11 @@
         entry.incarnation,
         entry.sequence,
         entry.value,
-        round(told.age_s, 1),
+        round(item.age_s, 1),
     ]
 
 
-def _unpack_told(value: list[Any]) -> entries.Told:
+def _unpack_entry(value: list[Any]) -> entries.AgedEntry:
     kind, name, origin, incarnation, sequence, text, age_s = value
     entry = entries.Entry(
         entries.Kind(kind),
@@ -128,4 +128,4 @@
         int(sequence),
         str(text),
     )
-    return entries.Told(entry, float(age_s))
+    return entries.AgedEntry(entry, float(age_s))
--- a/egretspur/membership/sender.py
+++ b/egretspur/membership/sender.py
@@ -1,8 +1,8 @@
-"""Threads that carry messages to peers outside the actor.
+"""Threads that send messages to peers outside the actor.
 
-Were the actor to wait for a peer's answer itself, two hosts that send to each
-other at the same moment would both wait until their time-outs: each one's
-actor is needed to answer the other.
+If the actor itself waited for a peer's answer, two hosts that send to each
+other at the same moment would both block until their time-outs, since each
+host's actor has to answer the other.
 """
 
 from __future__ import annotations
@@ -22,31 +22,33 @@
 
 THREADS: Final = 2
 
-# Messages waiting at most; more are dropped, later exchanges make up for them.
+# Messages beyond this are dropped; later exchanges make up for them.
 QUEUE_LENGTH: Final = 64
 
 
 @attrs.frozen
-class Parcel:
+class OutgoingMessage:
     """A message for a peer."""
 
     address: str
     path: str
-    message: news.Exchange
+    message: news.GossipMessage
 
 
 class Sender:
-    """Sends messages and hands the answers on."""
+    """Sends messages and passes the answers to a callback."""
 
-    def __init__(self, answered: Callable[[news.Exchange], None]) -> None:
-        self._answered = answered
+    def __init__(self, on_answer: Callable[[news.GossipMessage], None]) -> None:
+        self._on_answer = on_answer
         self._transport = transport.Transport(0.5, 1.0)
-        self._queue: queue.Queue[Parcel | None] = queue.Queue(QUEUE_LENGTH)
+        self._queue: queue.Queue[OutgoingMessage | None] = queue.Queue(
+            QUEUE_LENGTH
+        )
         self._threads = [
             threading.Thread(target=self._run, name="peers", daemon=True)
             for _ in range(THREADS)
         ]
-        # Bytes sent and received in bodies, for the metrics.
+        # Bytes of message bodies sent and received, for the metrics.
         self.sent_bytes = 0
         self.received_bytes = 0
 
@@ -56,7 +58,7 @@
             thread.start()
 
     def close(self) -> None:
-        """Stops the threads after what they are sending."""
+        """Stops the threads after the messages that they are sending."""
         for _ in self._threads:
             try:
                 self._queue.put_nowait(None)
@@ -64,29 +66,35 @@
                 break
         self._transport.close()
 
-    def send(self, parcel: Parcel) -> None:
-        """Queues a message; drops it if too many wait."""
+    def send(self, parcel: OutgoingMessage) -> None:
+        """Queues a message; drops it if the queue is full."""
         try:
             self._queue.put_nowait(parcel)
         except queue.Full:
-            _LOG.debug("message dropped", extra={"peer": parcel.address})
+            _LOG.debug(
+                "send queue is full; message dropped",
+                extra={"peer": parcel.address},
+            )
 
     def _run(self) -> None:
         while True:
             parcel = self._queue.get()
             if parcel is None:
                 return
-            self._carry(parcel)
+            self._deliver(parcel)
 
-    def _carry(self, parcel: Parcel) -> None:
-        data = news.pack_exchange(parcel.message)
+    def _deliver(self, parcel: OutgoingMessage) -> None:
+        data = news.pack_message(parcel.message)
         res = self._transport.call("POST", parcel.address, parcel.path, data)
         self.sent_bytes += len(data)
         if isinstance(res, transport.Failed) or res.status != 200:
-            _LOG.debug("peer does not answer", extra={"peer": parcel.address})
+            _LOG.debug(
+                "peer did not answer with status 200",
+                extra={"peer": parcel.address},
+            )
             return
         self.received_bytes += len(res.body)
         try:
-            self._answered(news.unpack_exchange(res.body))
+            self._on_answer(news.unpack_message(res.body))
         except codec.DecodeError as exc:
             _LOG.warning("peer's answer is malformed: %s", exc)
--- a/tests/routing/limits.py
+++ b/tests/routing/limits.py
@@ -27,7 +27,7 @@
 STEP_S: Final = 0.02
 
 # Interval of the datagrams of a host.
-UPDATE_PERIOD_S: Final = exchange.PERIOD_S
+UPDATE_PERIOD_S: Final = exchange.SEND_PERIOD_S
 
 # Duration of an answer by service, in seconds.
 ANSWER_S: Final = {"llm": 1.5, "desk": 0.04}
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the duty and on what hosts tell each other."""
+"""Steps on the duty and on peer updates."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 def make_news(
     host: str = "10.0.0.1", data_centre: str = "kl-hall", store_age_s: float = 0
-) -> datagrams.News:
+) -> datagrams.PeerUpdate:
     """Returns the news of a host with nothing in flight."""
-    return datagrams.News(
+    return datagrams.PeerUpdate(
         host,
         data_centre,
         store_age_s,
@@ -49,12 +49,12 @@
 @given("a lease that was asked for at {asked:f} s and dealt to this host")
 def step_lease(context: Any, asked: float) -> None:
     context.lease = duty.Lease()
-    context.lease.note(duty.Held(True, 1), asked)
+    context.lease.apply_reply(duty.JoinReply(True, 1), asked)
 
 
 @when("the next answer says that another host has it")
 def step_dealt(context: Any) -> None:
-    context.lease.note(duty.Held(False, 2), 10.4)
+    context.lease.apply_reply(duty.JoinReply(False, 2), 10.4)
 
 
 @then("orders may be given until {last:f} s and not at {after:f} s")
@@ -81,12 +81,14 @@
 def step_heard(
     context: Any, peer: str, data_centre: str, age: float, store: float
 ) -> None:
-    context.peers.note(make_news(peer, data_centre, store), 100.0 - age)
+    context.peers.record_update(
+        make_news(peer, data_centre, store), 100.0 - age
+    )
 
 
 @then("it {verdict} stand in")
 def step_verdict(context: Any, verdict: str) -> None:
-    assert context.peers.is_first_cut_off(100.0) == (verdict == "may")
+    assert context.peers.may_be_deputy(100.0) == (verdict == "may")
 
 
 @then("it {verdict} ask for the duty")
@@ -105,7 +107,7 @@
     for i in range(count):
         news = make_news(f"10.1.{version}.{i + 1}", "kl-hall", 0.0)
         known = reading.Known(version, 7, 0.5)
-        context.peers.note(attrs.evolve(news, known=known), 100.0)
+        context.peers.record_update(attrs.evolve(news, known=known), 100.0)
 
 
 @then("{count:d} hosts are asked for the configuration, each as often")
@@ -149,12 +151,12 @@
 class Group:
     """A group whose store answers as told; see `duty.Group`."""
 
-    answer: duty.Held | feeds.Unavailable
+    answer: duty.JoinReply | feeds.Unavailable
     joins: int = 0
     leaves: int = 0
     era: int = 0
 
-    def join(self, ttl_s: float) -> duty.Held | feeds.Unavailable:
+    def join(self, ttl_s: float) -> duty.JoinReply | feeds.Unavailable:
         """Answers."""
         self.joins += 1
         return self.answer
@@ -187,10 +189,10 @@
         """Nobody is heard."""
         return True
 
-    def note_members(self, hosts: tuple[str, ...]) -> None:
+    def add_members(self, hosts: tuple[str, ...]) -> None:
         """Nothing to do."""
 
-    def is_first_cut_off(self) -> bool:
+    def may_be_deputy(self) -> bool:
         """A host alone is the first."""
         return True
 
@@ -199,7 +201,7 @@
 def step_holder(context: Any) -> None:
     context.now_s = 50.0
     context.alone = Alone()
-    context.group = Group(duty.Held(True, 1))
+    context.group = Group(duty.JoinReply(True, 1))
     context.member = duty.Duty(
         context.group, context.alone, lambda: float(context.now_s)
     )
@@ -210,7 +212,7 @@
 @when("it hears of three hosts that come before it")
 def step_others_first(context: Any) -> None:
     context.alone.may_join = False
-    context.now_s += duty.PERIOD_S
+    context.now_s += duty.JOIN_PERIOD_S
     context.member.join()
 
 
@@ -220,7 +222,7 @@
     assert context.group.leaves == 1
     joins = context.group.joins
     for _ in range(10):
-        context.now_s += duty.PERIOD_S
+        context.now_s += duty.JOIN_PERIOD_S
         context.member.join()
     assert context.group.joins == joins
     assert context.group.leaves == 1
@@ -237,7 +239,7 @@
 def step_member(context: Any) -> None:
     context.now_s = context.asked_s = 50.0
     context.member = duty.Duty(
-        Group(duty.Held(False, 1)), Alone(), lambda: float(context.now_s)
+        Group(duty.JoinReply(False, 1)), Alone(), lambda: float(context.now_s)
     )
     context.member.join()
     context.member.group.answer = feeds.Unavailable("down")
@@ -259,7 +261,7 @@
 
 @when("the store answers that another host has the duty")
 def step_back(context: Any) -> None:
-    context.member.group.answer = duty.Held(False, 2)
+    context.member.group.answer = duty.JoinReply(False, 2)
     context.member.join()
 
 
@@ -268,9 +270,9 @@
     assert not context.member.is_held()
 
 
-@given("news with requests in flight, slow and dead engines and layers")
+@given("an update with requests in flight, slow and dead engines and layers")
 def step_news(context: Any) -> None:
-    context.news = datagrams.News(
+    context.news = datagrams.PeerUpdate(
         "10.1.0.4",
         "kl-hall",
         0.25,
@@ -286,10 +288,10 @@
 
 @when("it is sent as a datagram")
 def step_sent(context: Any) -> None:
-    context.read = read_alone(datagrams.encode_news(context.news))
+    context.read = read_alone(datagrams.encode_update(context.news))
 
 
-@then("the same news is read from it")
+@then("the same update is decoded from it")
 def step_same(context: Any) -> None:
     assert context.read == context.news, context.read
 
@@ -301,7 +303,7 @@
 
 @when("field {place:d} of its datagram is {value}")
 def step_field(context: Any, place: int, value: str) -> None:
-    row = json.loads(datagrams.encode_news(context.news))
+    row = json.loads(datagrams.encode_update(context.news))
     parts = [json.dumps(v) for v in row]
     parts[place] = value
     context.read = read_alone(f"[{','.join(parts)}]".encode())
@@ -309,30 +311,30 @@
 
 @then('it is refused for its "{field}"')
 def step_refused_field(context: Any, field: str) -> None:
-    assert isinstance(context.read, datagrams.NotNews), context.read
+    assert isinstance(context.read, datagrams.InvalidUpdate), context.read
     assert context.read.field == field, context.read
 
 
 @then("it is ignored")
 def step_ignored(context: Any) -> None:
-    assert isinstance(context.read, datagrams.NotNews), context.read
+    assert isinstance(context.read, datagrams.InvalidUpdate), context.read
 
 
-def read_alone(data: bytes) -> datagrams.News | datagrams.NotNews:
+def read_alone(data: bytes) -> datagrams.PeerUpdate | datagrams.InvalidUpdate:
     """Reads a datagram as the first one of its host."""
     return datagrams.Decoder().decode(data)
 
 
 @when("one field of its datagram after the other is of another type")
 def step_fields_broken(context: Any) -> None:
-    row = json.loads(datagrams.encode_news(context.news))
+    row = json.loads(datagrams.encode_update(context.news))
     context.outcomes = []
     for place, wrong in itertools.product(range(len(row)), WRONG):
         if type(wrong) is type(row[place]):
             continue
         data = json.dumps([*row[:place], wrong, *row[place + 1 :]]).encode()
         decoder = datagrams.Decoder()
-        before = decoder.decode(datagrams.encode_news(context.news))
+        before = decoder.decode(datagrams.encode_update(context.news))
         assert before == context.news, before
         context.outcomes.append((place, wrong, read_alone(data)))
         context.outcomes.append((place, wrong, decoder.decode(data)))
@@ -342,10 +344,10 @@
 def step_all_refused(context: Any) -> None:
     assert len(context.outcomes) > 100, len(context.outcomes)
     for place, wrong, found in context.outcomes:
-        assert isinstance(found, datagrams.NotNews), (place, wrong, found)
+        assert isinstance(found, datagrams.InvalidUpdate), (place, wrong, found)
 
 
-@when("hosts tell any news, one after the other")
+@when("hosts send arbitrary updates, one after the other")
 def step_any_news(context: Any) -> None:
     usage = st.dictionaries(
         st.sampled_from(("i-1", "i-2")),
@@ -370,51 +372,51 @@
 
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
     @hypothesis.given(st.lists(drawn, max_size=8))
-    def check(told: list[datagrams.News]) -> None:
+    def check(told: list[datagrams.PeerUpdate]) -> None:
         decoder = datagrams.Decoder()
         for news in told:
-            assert decoder.decode(datagrams.encode_news(news)) == news
+            assert decoder.decode(datagrams.encode_update(news)) == news
             context.checked += 1
 
     check()
 
 
-@then("each is read as it was told")
+@then("each is decoded as it was sent")
 def step_each_read(context: Any) -> None:
     assert context.checked > 300, context.checked
 
 
-@when("more hosts tell something than are kept")
+@when("more hosts send updates than are cached")
 def step_many_hosts(context: Any) -> None:
     context.decoder = datagrams.Decoder()
-    for i in range(datagrams.KEPT_HOSTS + 10):
+    for i in range(datagrams.MAX_CACHED_HOSTS + 10):
         news = make_news(f"10.0.{i // 250}.{i % 250}")
-        assert context.decoder.decode(datagrams.encode_news(news)) == news
+        assert context.decoder.decode(datagrams.encode_update(news)) == news
 
 
-@then("the last datagrams of no more are in memory")
+@then("only as many last datagrams are in memory as are cached")
 def step_kept(context: Any) -> None:
     (last,) = [
         v for v in gc.get_referents(context.decoder) if isinstance(v, dict)
     ]
-    assert len(last) == datagrams.KEPT_HOSTS, len(last)
+    assert len(last) == datagrams.MAX_CACHED_HOSTS, len(last)
 
 
 @given("hosts {hosts} of {data_centre} that were heard now")
 def step_hosts_heard(context: Any, hosts: str, data_centre: str) -> None:
     for host in hosts.split(", "):
-        context.peers.note(make_news(host, data_centre), 100.0)
+        context.peers.record_update(make_news(host, data_centre), 100.0)
 
 
 @then("it sends to {hosts} each time")
 def step_near(context: Any, hosts: str) -> None:
-    assert context.peers.list_near(100.1) == hosts.split(", ")
+    assert context.peers.list_local(100.1) == hosts.split(", ")
 
 
 @then("as speaker to {hosts}")
 def step_far(context: Any, hosts: str) -> None:
     assert context.peers.is_speaker(100.1)
-    assert context.peers.list_far(100.1) == hosts.split(", ")
+    assert context.peers.list_remote(100.1) == hosts.split(", ")
 
 
 @given("{count:d} more hosts of {place} that it only knows of")
@@ -422,24 +424,24 @@
     context.known = [f"10.2.1.{i + 1}" for i in range(count)]
     teller = make_news("10.1.0.99", "kl-hall")
     peers = dict.fromkeys(context.known, place)
-    context.peers.note(attrs.evolve(teller, peers=peers), 100.0)
+    context.peers.record_update(attrs.evolve(teller, peers=peers), 100.0)
 
 
-@then("it tells {host} of them and one more")
+@then("it sends to {host} of them and one more")
 def step_tells_one(context: Any, host: str) -> None:
-    told = context.peers.list_far(100.1)
+    told = context.peers.list_remote(100.1)
     assert len(told) == 2
     assert host in told
 
 
-@then("it tells {count:d} of them")
+@then("it sends to {count:d} of them")
 def step_tells_all(context: Any, count: int) -> None:
-    assert len(context.peers.list_far(100.1)) == count
+    assert len(context.peers.list_remote(100.1)) == count
 
 
 @given("a host of kl-hall and four of pg-hall on this machine, and no spares")
 def step_two_places(context: Any) -> None:
-    patch = mock.patch.object(exchange, "SPARES", 0)
+    patch = mock.patch.object(exchange, "SPARE_CONTACTS", 0)
     patch.start()
     context.add_cleanup(patch.stop)
     context.play = Talkers()
@@ -447,7 +449,7 @@
     port = stage.find_udp_port(ips)
     for ip in ips:
         place = "kl-hall" if ip == ips[0] else "pg-hall"
-        heard: dict[str, datagrams.News] = {}
+        heard: dict[str, datagrams.PeerUpdate] = {}
         context.play.heard[ip] = heard
         item = exchange.Exchange(
             exchange.Peers(ip, place, ips),
@@ -466,21 +468,21 @@
     first = context.play.exchanges[0]
     stage.wait_until(
         lambda: (
-            len(first._peers._places) == 4
-            and len(first._peers.list_far(time.monotonic())) == 1
+            len(first._peers._host_data_centres) == 4
+            and len(first._peers.list_remote(time.monotonic())) == 1
         ),
         20.0,
         "one speaker",
     )
 
 
-@then("the one of kl-hall tells one of pg-hall")
+@then("the host of kl-hall sends to one of pg-hall")
 def step_tells(context: Any) -> None:
     first = context.play.exchanges[0]
-    assert first._peers.list_far(time.monotonic()) == ["127.0.0.2"]
+    assert first._peers.list_remote(time.monotonic()) == ["127.0.0.2"]
 
 
-@then("all four go on hearing of it")
+@then("all four keep receiving its updates")
 def step_passed_on(context: Any) -> None:
     first = "127.0.0.1"
     others = [h for ip, h in context.play.heard.items() if ip != first]
@@ -491,7 +493,7 @@
     )
 
 
-@then("it does not speak")
+@then("it is not the speaker")
 def step_no_speaker(context: Any) -> None:
     assert not context.peers.is_speaker(100.1)
 
@@ -501,7 +503,7 @@
     """Exchanges on this machine, closed with the scenario."""
 
     exchanges: list[exchange.Exchange] = attrs.Factory(list)
-    heard: dict[str, dict[str, datagrams.News]] = attrs.Factory(dict)
+    heard: dict[str, dict[str, datagrams.PeerUpdate]] = attrs.Factory(dict)
 
     def close(self) -> None:
         """Closes all of them."""
@@ -514,7 +516,7 @@
     context.play = Talkers()
     port = stage.find_udp_port(IPS)
     for ip in IPS:
-        heard: dict[str, datagrams.News] = {}
+        heard: dict[str, datagrams.PeerUpdate] = {}
         context.play.heard[ip] = heard
         context.play.exchanges.append(
             exchange.Exchange(
@@ -533,7 +535,7 @@
 def make_sender(ip: str, place: str = "kl-hall") -> Any:
     """Returns what makes a host's news."""
 
-    def make(heard: dict[str, str]) -> datagrams.News:
+    def make(heard: dict[str, str]) -> datagrams.PeerUpdate:
         usage = {f"i-{ip}": jobs.Usage(1, 900.0)}
         news = make_news(ip, place)
         return attrs.evolve(news, usage=usage, peers=heard)
@@ -541,10 +543,10 @@
     return make
 
 
-def make_taker(heard: dict[str, datagrams.News]) -> Any:
+def make_taker(heard: dict[str, datagrams.PeerUpdate]) -> Any:
     """Returns what takes others' news."""
 
-    def take(news: Sequence[datagrams.News], hosts: int) -> None:
+    def take(news: Sequence[datagrams.PeerUpdate], hosts: int) -> None:
         heard.update({n.host: n for n in news})
 
     return take
@@ -570,7 +572,7 @@
 def step_others(context: Any, count: int) -> None:
     context.peers = exchange.Peers("10.1.0.1", "kl-hall", [])
     for i in range(count):
-        context.peers.note(make_news(f"10.1.0.{i + 2}"), 100.0)
+        context.peers.record_update(make_news(f"10.1.0.{i + 2}"), 100.0)
 
 
 @given(
@@ -583,25 +585,25 @@
         "10.1.0.1", "kl-hall", [], data_centres=places
     )
     for i in range(count):
-        context.peers.note(make_news(f"10.1.0.{i + 2}"), 100.0)
+        context.peers.record_update(make_news(f"10.1.0.{i + 2}"), 100.0)
 
 
 @when("for {seconds:d} s it hears {what}")
 def step_hears_on(context: Any, seconds: int, what: str) -> None:
     for i in range(seconds):
         if what == "one of them":
-            context.peers.note(make_news("10.1.0.2"), 101.0 + i)
+            context.peers.record_update(make_news("10.1.0.2"), 101.0 + i)
         # Forgets who is not counted any more.
-        context.peers.list_near(101.0 + i)
+        context.peers.list_local(101.0 + i)
 
 
-@then("{count:d} hosts share the repeats")
+@then("{count:d} hosts share the retry budget")
 def step_share(context: Any, count: int) -> None:
-    sharing = context.peers.count_sharing()
+    sharing = context.peers.count_budget_sharers()
     assert sharing == count, sharing
 
 
-@given("a host that takes news")
+@given("a host that receives updates")
 def step_taker(context: Any) -> None:
     context.play = Talkers()
     context.goes = []
@@ -623,12 +625,12 @@
 def step_at_once(context: Any, count: int) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for i in range(count - 1):
-            data = datagrams.encode_news(make_news(f"10.0.1.{i}"))
+            data = datagrams.encode_update(make_news(f"10.0.1.{i}"))
             sock.sendto(data, (IPS[0], context.port))
         sock.sendto(b"[]", (IPS[0], context.port))
 
 
-@then("it hears {count:d} hosts, in fewer than {goes:d} goes")
+@then("it receives {count:d} updates, in fewer than {goes:d} batches")
 def step_goes(context: Any, count: int, goes: int) -> None:
     stage.wait_until(
         lambda: sum(len(g) for g in context.goes) == count, 5.0, "all heard"
@@ -644,7 +646,7 @@
 @then("it gives no orders until it has joined again")
 def step_until_joined(context: Any) -> None:
     assert not context.member.is_held()
-    context.group.answer = duty.Held(True, 1, context.group.era)
+    context.group.answer = duty.JoinReply(True, 1, context.group.era)
     context.member.join()
     # It held the duty all the while, so nobody else did.
     assert context.member.is_held()
@@ -655,11 +657,11 @@
     " the duty"
 )
 def step_not_holder(context: Any, seconds: int) -> None:
-    group = Group(duty.Held(False, 7, 1), era=1)
+    group = Group(duty.JoinReply(False, 7, 1), era=1)
     member = duty.Duty(group, Alone(), lambda: float(context.now_s))
     member.join()
     group.era = 2
-    group.answer = duty.Held(True, 5, 2)
+    group.answer = duty.JoinReply(True, 5, 2)
     began_s = context.now_s
     while context.now_s < began_s + seconds:
         member.join()
@@ -717,5 +719,5 @@
     """Has a host hear the others, whose lists are old."""
     for host in hosts:
         if host != me:
-            peers.note(make_news(host, "kl-hall", 5.0), now_s)
+            peers.record_update(make_news(host, "kl-hall", 5.0), now_s)
     return peers
