--- a/egretspur/admission/demand.py
+++ b/egretspur/admission/demand.py
@@ -20,23 +20,23 @@
 
 # A host counts as wanting so many at least: one that begins to, or that is not
 # heard, has a part too.
-LEAST: Final = 0.5
+MIN_DEMAND: Final = 0.5
 
 # A request of this host counts for its own part after so long, in seconds: it
 # has been told to all within two datagrams, one of which may be lost.
-TOLD_S: Final = 0.6
+OWN_DELAY_S: Final = 0.6
 
 # What another host told counts for so long, in seconds. Long, since one that is
 # not heard may be cut off and go on; a window after it has ended, its callers
 # have come to others.
-HEARD_S: Final = 10.0
+PEER_TTL_S: Final = 10.0
 
 
 @attrs.frozen
-class _Heard:
+class _PeerDemand:
     at_s: float
     wanted: int
-    is_near: bool
+    is_local: bool
 
 
 class Demand:
@@ -55,16 +55,16 @@
         self._own: dict[str, list[float]] = {}
         # By upstream, and by host near by or other data centre: one host speaks
         # for all of that.
-        self._heard: dict[str, dict[str, _Heard]] = {}
+        self._peer_demand: dict[str, dict[str, _PeerDemand]] = {}
 
-    def note(self, upstream_ids: Iterable[str], now_s: float) -> None:
+    def record_request(self, upstream_ids: Iterable[str], now_s: float) -> None:
         """Counts a request for which these upstreams would do."""
         for upstream_id in upstream_ids:
             times = self._own.setdefault(upstream_id, [])
             del times[: bisect.bisect_left(times, now_s - WINDOW_S)]
             times.append(now_s)
 
-    def hear(
+    def apply_peer_update(
         self,
         host: str,
         data_centre: str,
@@ -74,38 +74,42 @@
     ) -> None:
         """Takes how many another host, or a data centre, wants to send."""
         is_near = data_centre == self._data_centre
-        heard = self._heard.setdefault(upstream_id, {})
-        heard[host if is_near else data_centre] = _Heard(now_s, wanted, is_near)
+        heard = self._peer_demand.setdefault(upstream_id, {})
+        heard[host if is_near else data_centre] = _PeerDemand(
+            now_s, wanted, is_near
+        )
 
     def count_own(self, upstream_id: str, now_s: float) -> int:
         """Returns how many requests this host wants to send."""
         times = self._own.get(upstream_id, [])
         return len(times) - bisect.bisect_left(times, now_s - WINDOW_S)
 
-    def count_near(self, upstream_id: str, now_s: float) -> int:
+    def count_local(self, upstream_id: str, now_s: float) -> int:
         """Returns how many the hosts of this data centre want to send."""
         theirs = sum(
-            h.wanted for h in self._list_heard(upstream_id, now_s) if h.is_near
+            h.wanted
+            for h in self._list_recent(upstream_id, now_s)
+            if h.is_local
         )
         return self.count_own(upstream_id, now_s) + theirs
 
-    def get_part(self, upstream_id: str, now_s: float) -> float:
+    def get_share(self, upstream_id: str, now_s: float) -> float:
         """Returns this host's part of what an upstream takes, up to 1."""
         times = self._own.get(upstream_id, [])
-        untold = len(times) - bisect.bisect_right(times, now_s - TOLD_S)
+        untold = len(times) - bisect.bisect_right(times, now_s - OWN_DELAY_S)
         own = self.count_own(upstream_id, now_s) - untold
-        others = sum(h.wanted for h in self._list_heard(upstream_id, now_s))
-        return (own + LEAST) / (own + others + LEAST * self.hosts)
+        others = sum(h.wanted for h in self._list_recent(upstream_id, now_s))
+        return (own + MIN_DEMAND) / (own + others + MIN_DEMAND * self.hosts)
 
-    def forget(self, upstream_id: str) -> None:
+    def remove_upstream(self, upstream_id: str) -> None:
         """Drops what is known of an upstream."""
         self._own.pop(upstream_id, None)
-        self._heard.pop(upstream_id, None)
+        self._peer_demand.pop(upstream_id, None)
 
-    def _list_heard(self, upstream_id: str, now_s: float) -> list[_Heard]:
+    def _list_recent(self, upstream_id: str, now_s: float) -> list[_PeerDemand]:
         """Returns what the others have told of late."""
         return [
             h
-            for h in self._heard.get(upstream_id, {}).values()
-            if now_s - h.at_s < HEARD_S
+            for h in self._peer_demand.get(upstream_id, {}).values()
+            if now_s - h.at_s < PEER_TTL_S
         ]
--- a/egretspur/admission/throttle.py
+++ b/egretspur/admission/throttle.py
@@ -159,7 +159,9 @@
             told: The limit that it named.
             now_s: Monotonic time.
         """
-        self.demand.hear(host, data_centre, upstream_id, told.wanted, now_s)
+        self.demand.apply_peer_update(
+            host, data_centre, upstream_id, told.wanted, now_s
+        )
         known = self._limits.get(upstream_id)
         heard = Limit(told.per_s, now_s - told.age_s - DELAY_S)
         if known is not None and heard.at_s <= known.at_s:
@@ -175,7 +177,7 @@
             now_s: Monotonic time.
             is_speaker: For other data centres, for all hosts of this one.
         """
-        count = self.demand.count_near if is_speaker else self.demand.count_own
+        count = self.demand.count_local if is_speaker else self.demand.count_own
         rows = [
             (i, Told(k.per_s, max(0.0, now_s - k.at_s), count(i, now_s)))
             for i, k in self._limits.items()
@@ -225,7 +227,7 @@
         for upstream_id in gone:
             del self._limits[upstream_id]
             self._turns.pop(upstream_id, None)
-            self.demand.forget(upstream_id)
+            self.demand.remove_upstream(upstream_id)
         if gone:
             self._list_limited()
 
@@ -262,7 +264,7 @@
     ) -> _Turns:
         """Returns the turns by this host's present part."""
         per_s = max(LEAST_PER_S, self._limits[upstream_id].per_s or 0.0)
-        part = self.demand.get_part(upstream_id, now_s)
+        part = self.demand.get_share(upstream_id, now_s)
         period_s = 1.0 / (USED * per_s * part)
         if old is None:
             next_s = now_s + self._rng.uniform(0.0, period_s)
--- a/egretspur/routing/backpressure.py
+++ b/egretspur/routing/backpressure.py
@@ -140,7 +140,9 @@
         if any(self._throttle.is_open(e.id, now_s) for e in near):
             takers = near
         ids = {e.id for e in takers}
-        self._throttle.demand.note(ids & self._throttle.limited, now_s)
+        self._throttle.demand.record_request(
+            ids & self._throttle.limited, now_s
+        )
 
     def find_opening(
         self, service: str, now_s: float
