--- a/egretspur/admission/limits.py
+++ b/egretspur/admission/limits.py
@@ -13,21 +13,21 @@
 
 def compute_share(
     limit: int,
-    me: str,
+    own_host: str,
     demand: Mapping[str, int],
-    listed: int,
-    informed: bool,
+    router_count: int,
+    has_current_peers: bool,
     settled: bool = True,
 ) -> int:
     """Returns how many requests at once this router may serve.
 
     Args:
         limit: Limit of the workspace in this data centre.
-        me: Name of this router's host.
+        own_host: Name of this router's host.
         demand: Requests at once, running and waiting, by host; this one's
             included. Hosts that state none need none.
-        listed: Routers in the data centre by the platform's list.
-        informed: Whether news of peers is current.
+        router_count: Routers in the data centre by the platform's list.
+        has_current_peers: Whether news of peers is current.
         settled: Whether this router has wanted more than an even share for
             long enough that news of others who do must have come. Without
             this, two routers that a burst reaches together each take all of
@@ -37,14 +37,16 @@
         return 0
     # Rounded up to one so that a small limit does not shut out a workspace
     # altogether; the excess is at most one per router.
-    even_share = max(1, limit // max(1, listed))
-    if not informed:
+    even_share = max(1, limit // max(1, router_count))
+    if not has_current_peers:
         return even_share
-    share = _divide(limit, me, demand, listed)
+    share = _divide(limit, own_host, demand, router_count)
     return share if settled else min(share, even_share)
 
 
-def _divide(limit: int, me: str, demand: Mapping[str, int], listed: int) -> int:
+def _divide(
+    limit: int, own_host: str, demand: Mapping[str, int], router_count: int
+) -> int:
     """Returns this router's part of the limit by everyone's demand."""
     left = limit
     open_hosts = {h: d for h, d in demand.items() if d > 0}
@@ -63,5 +65,5 @@
                 del open_hosts[host]
     # What nobody asked for is left open to this router's next arrivals, in
     # an even part, so that a burst needn't wait for the next exchange.
-    spare = left // max(1, listed) if not open_hosts else 0
-    return shares.get(me, 0) + spare
+    spare = left // max(1, router_count) if not open_hosts else 0
+    return shares.get(own_host, 0) + spare
--- a/tests/steps/decisions_steps.py
+++ b/tests/steps/decisions_steps.py
@@ -387,7 +387,7 @@
             name,
             wanted,
             context.listed,
-            informed=news != "stale",
+            has_current_peers=news != "stale",
             settled=news != "early",
         )
         for name in wanted
