--- a/egretspur/admission/quarantine.py
+++ b/egretspur/admission/quarantine.py
@@ -31,31 +31,31 @@
 
 # Upstreams that a request may end before it is sent no more. One may end by
 # chance, two in the fall of a data centre that the request went through.
-ENDS: Final = 3.0
+CRASH_THRESHOLD: Final = 3.0
 
 # What an end counts where the attempt had brought a part of the answer. A
 # request that is to blame nearly always ends an upstream before that; were
 # such ends not counted at all, one that doesn't would end upstreams for ever.
-LATER_END: Final = 0.5
+LATE_CRASH_WEIGHT: Final = 0.5
 
 # An attempt's upstream is asked at once whether it lives, and again 0.15 s
 # later. Where nothing is known of it after so long, it counts as alive.
-SETTLE_S: Final = 2.0
+CRASH_CHECK_S: Final = 2.0
 
 # News of a request are told to other hosts for so long, in some forty
 # datagrams: also to those that were cut off for some seconds.
-TOLD_S: Final = 10.0
+PUBLISH_S: Final = 10.0
 
 # A request that was answered so long ago ends nothing. Longer than others
 # tell of its ends, who may not have heard of the answer yet.
-ANSWERED_S: Final = 20.0
+ANSWER_TTL_S: Final = 20.0
 
 # Requests that are remembered, those that ended something last: more than are
 # under way at once at one host of a large site, all of which may be cut in one
 # moment. And those that were answered: the same look-up that many callers of a
 # workspace send stays among the last thousand.
-KEPT: Final = 4096
-ANSWERS_KEPT: Final = 1024
+MAX_RECORDS: Final = 4096
+MAX_ANSWERS: Final = 1024
 
 # Retry-After of a request in quarantine, in seconds: to come back sooner is of
 # no use, it is refused until someone has looked at it.
@@ -63,14 +63,14 @@
 
 # Characters by which hosts name an upstream's start to each other. Were two
 # of the three alike, a request would be sent once more.
-_NAME_CHARS: Final = 8
+_START_ID_CHARS: Final = 8
 
 
-class State(enum.Enum):
+class UpstreamState(enum.Enum):
     """What is known of an upstream after an attempt there was cut."""
 
     # It has ended, or can't be reached.
-    ENDED = "ended"
+    CRASHED = "ended"
     # It answers, and is the same start as before.
     ALIVE = "alive"
     # It is being asked.
@@ -78,27 +78,27 @@
 
 
 @attrs.frozen
-class Cut:
+class CutAttempt:
     """An attempt that was cut, with upstreams of which one may have ended."""
 
     fingerprint: str
     # The one that it was sent to first.
     upstreams: tuple[str, ...]
     # Whether it had brought a part of the answer.
-    has_brought: bool
+    has_output: bool
     at_s: float
 
     @property
     def weight(self) -> float:
         """What the end of its upstream counts."""
-        return LATER_END if self.has_brought else 1.0
+        return LATE_CRASH_WEIGHT if self.has_output else 1.0
 
 
 # Ends of one request: what each counts, by name of the upstream's start.
-Ends = Mapping[str, float]
+Crashes = Mapping[str, float]
 
 
-def has_more_ends(known: Ends, other: Ends) -> bool:
+def has_new_crashes(known: Crashes, other: Crashes) -> bool:
     """Tells whether ends are known that another record lacks."""
     return not set(known) <= set(other)
 
@@ -109,7 +109,7 @@
 
     fingerprint: str
     # Empty where it was let go.
-    ends: Ends
+    crashes: Crashes
     # This host saw one of the ends, or the answer, itself.
     is_own: bool
 
@@ -118,67 +118,69 @@
 class _Record:
     """What is known of one request."""
 
-    ends: dict[str, float] = attrs.Factory(dict)
+    crashes: dict[str, float] = attrs.Factory(dict)
     # When it last changed.
     at_s: float = 0.0
-    is_held: bool = False
+    is_quarantined: bool = False
     # It was let go.
     is_released: bool = False
     # This host saw one of the ends itself.
     is_own: bool = False
 
-    def weigh(self) -> float:
+    def sum_weights(self) -> float:
         """Returns how many upstreams ended under it."""
-        return sum(self.ends.values())
+        return sum(self.crashes.values())
 
 
 class Quarantine:
     """What one host knows of requests under which upstreams ended."""
 
-    def __init__(self, settle_s: float = SETTLE_S) -> None:
+    def __init__(self, crash_check_s: float = CRASH_CHECK_S) -> None:
         """Makes a state that knows of none.
 
         Args:
-            settle_s: How long an upstream may stay unknown after a cut; then
+            crash_check_s: How long an upstream may stay unknown after a cut; then
                 it counts as alive.
         """
-        self._settle_s = settle_s
+        self._crash_check_s = crash_check_s
         # The one that changed last is at the end.
         self._records: collections.OrderedDict[str, _Record] = (
             collections.OrderedDict()
         )
         # When requests were answered, the last one at the end.
-        self._answered: collections.OrderedDict[str, float] = (
+        self._answered_at_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
-        self._cuts: list[Cut] = []
+        self._cuts: list[CutAttempt] = []
         self._changes: list[Change] = []
 
-    def is_held(self, fingerprint: str) -> bool:
+    def is_blocked(self, fingerprint: str) -> bool:
         """Tells whether a request may not be sent.
 
         Cuts count from the first moment, as if the upstream had ended: the
         next send would come before it is known.
         """
         record = self._records.get(fingerprint)
-        ends = dict(record.ends) if record else {}
+        ends = dict(record.crashes) if record else {}
         for cut in self._cuts:
             if cut.fingerprint == fingerprint:
-                ends.setdefault(name_start(cut.upstreams[0]), cut.weight)
-        return sum(ends.values()) >= ENDS
+                ends.setdefault(make_start_id(cut.upstreams[0]), cut.weight)
+        return sum(ends.values()) >= CRASH_THRESHOLD
 
     def get_retry_after_s(self, fingerprint: str) -> float:
         """Returns when one that is held may come back, in seconds."""
         record = self._records.get(fingerprint)
-        is_sure = record is not None and record.is_held
-        return RETRY_AFTER_S if is_sure else self._settle_s
+        is_sure = record is not None and record.is_quarantined
+        return RETRY_AFTER_S if is_sure else self._crash_check_s
 
-    def note_cut(self, cut: Cut, now_s: float) -> None:
+    def record_cut(self, cut: CutAttempt, now_s: float) -> None:
         """Takes an attempt that was cut; `settle` tells what follows."""
         if cut.fingerprint and not self._was_answered(cut.fingerprint, now_s):
             self._cuts.append(cut)
 
-    def settle(self, look: Callable[[str], State], now_s: float) -> None:
+    def resolve_cuts(
+        self, look: Callable[[str], UpstreamState], now_s: float
+    ) -> None:
         """Counts the cuts of which it is known by now what became of them.
 
         Args:
@@ -188,28 +190,30 @@
         cuts, self._cuts = self._cuts, []
         for cut in cuts:
             states = {u: look(u) for u in cut.upstreams}
-            ended = [u for u, s in states.items() if s is State.ENDED]
+            ended = [u for u, s in states.items() if s is UpstreamState.CRASHED]
             if ended:
-                ends = {name_start(ended[0]): cut.weight}
-                self._add(cut.fingerprint, ends, True, now_s)
+                ends = {make_start_id(ended[0]): cut.weight}
+                self._add_crashes(cut.fingerprint, ends, True, now_s)
             elif (
-                State.UNKNOWN in states.values()
-                and now_s - cut.at_s < self._settle_s
+                UpstreamState.UNKNOWN in states.values()
+                and now_s - cut.at_s < self._crash_check_s
             ):
                 self._cuts.append(cut)
 
-    def note_answered(self, fingerprint: str, now_s: float) -> None:
+    def record_answer(self, fingerprint: str, now_s: float) -> None:
         """Takes that a request was answered to its end, so it ends nothing."""
         if not fingerprint:
             return
-        self._answered[fingerprint] = now_s
-        self._answered.move_to_end(fingerprint)
-        if len(self._answered) > ANSWERS_KEPT:
-            self._answered.popitem(last=False)
+        self._answered_at_s[fingerprint] = now_s
+        self._answered_at_s.move_to_end(fingerprint)
+        if len(self._answered_at_s) > MAX_ANSWERS:
+            self._answered_at_s.popitem(last=False)
         self._cuts = [c for c in self._cuts if c.fingerprint != fingerprint]
-        self._clear(fingerprint, True, now_s)
+        self._clear_crashes(fingerprint, True, now_s)
 
-    def hear(self, told: Mapping[str, Ends], now_s: float) -> None:
+    def apply_peer_update(
+        self, told: Mapping[str, Crashes], now_s: float
+    ) -> None:
         """Takes what another host or the store tells.
 
         Args:
@@ -218,112 +222,120 @@
         """
         for fingerprint, ends in told.items():
             if not ends:
-                self._clear(fingerprint, False, now_s)
+                self._clear_crashes(fingerprint, False, now_s)
             elif self._was_answered(fingerprint, now_s):
-                self._contradict(fingerprint, now_s)
+                self._republish_answer(fingerprint, now_s)
             else:
-                self._add(fingerprint, ends, False, now_s)
+                self._add_crashes(fingerprint, ends, False, now_s)
 
-    def list_told(self, most: int, now_s: float) -> dict[str, dict[str, float]]:
+    def list_updates(
+        self, max_count: int, now_s: float
+    ) -> dict[str, dict[str, float]]:
         """Returns what to tell other hosts: what is held, and what is new.
 
         Args:
-            most: Requests to tell of at most. Held ones go first and those
+            max_count: Requests to tell of at most. Held ones go first and those
                 that were let go, then those that ended most.
             now_s: Monotonic time.
         """
         found = [
             (f, r)
             for f, r in self._records.items()
-            if r.is_held or now_s - r.at_s < TOLD_S
+            if r.is_quarantined or now_s - r.at_s < PUBLISH_S
         ]
         found.sort(
             key=lambda i: (
-                not (i[1].is_held or i[1].is_released),
-                -i[1].weigh(),
+                not (i[1].is_quarantined or i[1].is_released),
+                -i[1].sum_weights(),
                 -i[1].at_s,
             )
         )
-        return {f: dict(r.ends) for f, r in found[:most]}
+        return {f: dict(r.crashes) for f, r in found[:max_count]}
 
     def take_changes(self) -> list[Change]:
         """Returns what was held or let go since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
-    def list_held(self) -> dict[str, Ends]:
+    def list_quarantined(self) -> dict[str, Crashes]:
         """Returns the requests in quarantine."""
-        return {f: dict(r.ends) for f, r in self._records.items() if r.is_held}
+        return {
+            f: dict(r.crashes)
+            for f, r in self._records.items()
+            if r.is_quarantined
+        }
 
-    def is_settling(self) -> bool:
+    def has_pending_cuts(self) -> bool:
         """Tells whether `settle` has something to do."""
         return bool(self._cuts)
 
     def _was_answered(self, fingerprint: str, now_s: float) -> bool:
         """Tells whether a request was answered of late, so it ends nothing."""
-        at_s = self._answered.get(fingerprint)
-        if at_s is not None and now_s - at_s < ANSWERED_S:
+        at_s = self._answered_at_s.get(fingerprint)
+        if at_s is not None and now_s - at_s < ANSWER_TTL_S:
             return True
         record = self._records.get(fingerprint)
         return (
             record is not None
-            and not record.ends
-            and now_s - record.at_s < ANSWERED_S
+            and not record.crashes
+            and now_s - record.at_s < ANSWER_TTL_S
         )
 
-    def _add(
-        self, fingerprint: str, ends: Ends, is_own: bool, now_s: float
+    def _add_crashes(
+        self, fingerprint: str, ends: Crashes, is_own: bool, now_s: float
     ) -> None:
         """Counts ends of a request."""
-        record = self._touch(fingerprint)
+        record = self._get_record(fingerprint)
         record.is_own |= is_own
         for name, weight in ends.items():
-            if record.ends.get(name, 0.0) < weight:
-                record.ends[name] = weight
+            if record.crashes.get(name, 0.0) < weight:
+                record.crashes[name] = weight
                 record.at_s = now_s
-        if record.is_held or record.weigh() < ENDS:
+        if record.is_quarantined or record.sum_weights() < CRASH_THRESHOLD:
             return
-        record.is_held = True
+        record.is_quarantined = True
         record.is_released = False
         self._changes.append(
-            Change(fingerprint, dict(record.ends), record.is_own)
+            Change(fingerprint, dict(record.crashes), record.is_own)
         )
 
-    def _clear(self, fingerprint: str, is_own: bool, now_s: float) -> None:
+    def _clear_crashes(
+        self, fingerprint: str, is_own: bool, now_s: float
+    ) -> None:
         """Takes that a request ends nothing."""
         record = self._records.get(fingerprint)
-        if record is None or not record.ends:
+        if record is None or not record.crashes:
             return
-        if record.is_held:
+        if record.is_quarantined:
             record.is_released = True
             self._changes.append(Change(fingerprint, {}, is_own))
-        record.ends.clear()
-        record.is_held = record.is_own = False
+        record.crashes.clear()
+        record.is_quarantined = record.is_own = False
         record.at_s = now_s
 
-    def _contradict(self, fingerprint: str, now_s: float) -> None:
+    def _republish_answer(self, fingerprint: str, now_s: float) -> None:
         """Has a host told of an answer that it doesn't know of."""
-        record = self._touch(fingerprint)
+        record = self._get_record(fingerprint)
         record.at_s = now_s
 
-    def _touch(self, fingerprint: str) -> _Record:
+    def _get_record(self, fingerprint: str) -> _Record:
         """Returns a request's record, as the one that changed last."""
         record = self._records.get(fingerprint)
         if record is None:
             record = self._records[fingerprint] = _Record()
         self._records.move_to_end(fingerprint)
-        if len(self._records) > KEPT:
+        if len(self._records) > MAX_RECORDS:
             self._drop_oldest()
         return record
 
     def _drop_oldest(self) -> None:
         """Drops the record that changed first; a held one if all are."""
         oldest = next(
-            (f for f, r in self._records.items() if not r.is_held), ""
+            (f for f, r in self._records.items() if not r.is_quarantined), ""
         )
         del self._records[oldest or next(iter(self._records))]
 
 
-def name_start(upstream: str) -> str:
+def make_start_id(upstream: str) -> str:
     """Returns the name by which hosts tell each other of a start."""
-    return fingerprints.compute(upstream)[:_NAME_CHARS]
+    return fingerprints.compute(upstream)[:_START_ID_CHARS]
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -252,7 +252,7 @@
         return [
             statuses.Quarantined(fingerprint, len(ends))
             for fingerprint, ends in sorted(self._get_view().ended.items())
-            if sum(ends.values()) >= quarantine.ENDS
+            if sum(ends.values()) >= quarantine.CRASH_THRESHOLD
         ]
 
     def _get_quarantine(self, req: web.Request) -> web.Response:
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -78,7 +78,7 @@
         excess=own.memory.list_excess(now_s),
         suspects=own.list_suspects(now_s, False),
         spent=state.repeats.list_spent(now_s),
-        ended=state.quarantine.list_told(datagrams.MAX_ENDED, now_s),
+        ended=state.quarantine.list_updates(datagrams.MAX_ENDED, now_s),
         is_new=state.repeats.is_new(now_s),
         limits=state.throttle.list_told(now_s),
     )
--- a/egretspur/daemons/pages.py
+++ b/egretspur/daemons/pages.py
@@ -166,7 +166,7 @@
                 1 for t in state.tickets.values() if t.upstream_id
             ),
             "requests_waiting": len(state.queue.waiting),
-            "requests_quarantined": len(state.quarantine.list_held()),
+            "requests_quarantined": len(state.quarantine.list_quarantined()),
             "upstreams_listed": len(fleet.roster.entries),
             "upstreams_down": sum(
                 h.is_down for h in fleet.health.failed.values()
@@ -208,7 +208,7 @@
             for i, e in sorted(fleet.roster.entries.items())
         },
         "health": {i: codec.encode(f) for i, f in fleet.health.failed.items()},
-        "quarantine": state.quarantine.list_held(),
+        "quarantine": state.quarantine.list_quarantined(),
         "peers": {
             h: {"heard_s": round(now_s - p.heard_s, 3), "count": len(p.usage)}
             for h, p in sorted(fleet.memory.peers.items())
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -386,18 +386,18 @@
     )
 
 
-def make_quarantine_topic(store: Store) -> Topic[quarantine.Ends]:
+def make_quarantine_topic(store: Store) -> Topic[quarantine.Crashes]:
     """Returns the source of requests in quarantine."""
     return Topic(
         store,
         names.QUARANTINE_TOPIC,
         lambda key, data: decode.decode_ends(data),
-        tables.Policy(quarantine.has_more_ends),
+        tables.Policy(quarantine.has_new_crashes),
     )
 
 
 def write_quarantine(
-    store: Store, fingerprint: str, ends: quarantine.Ends
+    store: Store, fingerprint: str, ends: quarantine.Crashes
 ) -> str:
     """Writes a request in quarantine, or removes it if it has no ends.
 
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -146,7 +146,7 @@
         if ticket is None:
             return []
         if is_answered:
-            self.quarantine.note_answered(ticket.job.fingerprint, now_s)
+            self.quarantine.record_answer(ticket.job.fingerprint, now_s)
         queues.remove(self.queue, job_id)
         if ticket.upstream_id:
             queues.note_done(self.queue, ticket.job.service, now_s)
@@ -222,7 +222,7 @@
         self._crashes.note_cut(
             ticket.job.fingerprint, tuple(sorted(stalled)), has_brought, now_s
         )
-        if self.quarantine.is_held(ticket.job.fingerprint):
+        if self.quarantine.is_blocked(ticket.job.fingerprint):
             return jobs.Detour(None, is_ended=True)
         detour = self._find_detour(
             ticket, spec, stalled, self._can_resume(ticket), now_s
@@ -257,7 +257,7 @@
         ticket = self.tickets.get(job_id)
         if ticket is None:
             return False
-        if self.quarantine.is_held(ticket.job.fingerprint):
+        if self.quarantine.is_blocked(ticket.job.fingerprint):
             return True
         return self._can_resume(ticket) and self._take_repeat(ticket, now_s)
 
@@ -296,7 +296,7 @@
         )
 
     def restore(
-        self, ends: Mapping[str, quarantines.Ends], now_s: float
+        self, ends: Mapping[str, quarantines.Crashes], now_s: float
     ) -> list[jobs.Effect]:
         """Takes what the store says of requests in quarantine."""
         self._crashes.restore(ends, now_s)
@@ -352,7 +352,7 @@
     def hear(self, news: fleets.PeerNews, now_s: float) -> None:
         """Takes what another host said."""
         self.fleet.hear(news, now_s)
-        self.quarantine.hear(news.ended, now_s)
+        self.quarantine.apply_peer_update(news.ended, now_s)
         self._crashes.settle(now_s)
         self.repeats.hear(
             news.host, news.data_centre, news.spent, now_s, news.is_new
@@ -384,13 +384,13 @@
         return (
             bool(self.queue.waiting)
             or self.fleet.is_asking()
-            or self.quarantine.is_settling()
+            or self.quarantine.has_pending_cuts()
         )
 
     # Decisions.
 
     def _admit(self, ticket: tickets.Ticket, now_s: float) -> list[jobs.Effect]:
-        if self.quarantine.is_held(ticket.job.fingerprint):
+        if self.quarantine.is_blocked(ticket.job.fingerprint):
             return [self._refuse_held(ticket, now_s)]
         service = self._services.get(ticket.job.service)
         if service is None:
@@ -541,7 +541,7 @@
         return [
             self._refuse_held(self.tickets[i], now_s)
             for i in list(self.queue.waiting)
-            if self.quarantine.is_held(self.tickets[i].job.fingerprint)
+            if self.quarantine.is_blocked(self.tickets[i].job.fingerprint)
         ]
 
     def _serve_queue(self, now_s: float) -> list[jobs.Effect]:
@@ -690,7 +690,7 @@
         self, ticket: tickets.Ticket, failure: jobs.Failure, now_s: float
     ) -> errors.Refusal | None:
         """Returns the final answer if the request may not be sent again."""
-        is_held = self.quarantine.is_held(ticket.job.fingerprint)
+        is_held = self.quarantine.is_blocked(ticket.job.fingerprint)
         final = retries.check(ticket, failure, is_held, now_s)
         if final is None and not self._take_repeat(ticket, now_s):
             final = retries.make_final(ticket, failure, "no repeats left")
--- a/egretspur/routing/crashes.py
+++ b/egretspur/routing/crashes.py
@@ -42,22 +42,24 @@
         """Takes that one of these upstreams may have ended under a request."""
         if not upstream_ids:
             return
-        self._quarantine.note_cut(
-            quarantines.Cut(fingerprint, upstream_ids, has_brought, now_s),
+        self._quarantine.record_cut(
+            quarantines.CutAttempt(
+                fingerprint, upstream_ids, has_brought, now_s
+            ),
             now_s,
         )
         self.settle(now_s)
 
     def settle(self, now_s: float) -> None:
         """Counts the upstreams that have turned out to have ended."""
-        self._quarantine.settle(self._look_at, now_s)
+        self._quarantine.resolve_cuts(self._look_at, now_s)
         self._note_changes()
 
     def restore(
-        self, ends: Mapping[str, quarantines.Ends], now_s: float
+        self, ends: Mapping[str, quarantines.Crashes], now_s: float
     ) -> None:
         """Takes what the store says of requests in quarantine."""
-        self._quarantine.hear(ends, now_s)
+        self._quarantine.apply_peer_update(ends, now_s)
         self._note_changes()
 
     def take_unsaved(self) -> list[quarantines.Change]:
@@ -65,24 +67,24 @@
         unsaved, self._unsaved = self._unsaved, []
         return unsaved
 
-    def _look_at(self, upstream_id: str) -> quarantines.State:
+    def _look_at(self, upstream_id: str) -> quarantines.UpstreamState:
         """Returns what is known of an upstream whose answer was cut."""
         if upstream_id not in self._fleet.roster.entries:
-            return quarantines.State.ENDED
+            return quarantines.UpstreamState.CRASHED
         failed = self._fleet.health.failed.get(upstream_id)
         if failed is None:
-            return quarantines.State.ALIVE
+            return quarantines.UpstreamState.ALIVE
         if failed.is_down:
-            return quarantines.State.ENDED
-        return quarantines.State.UNKNOWN
+            return quarantines.UpstreamState.CRASHED
+        return quarantines.UpstreamState.UNKNOWN
 
     def _note_changes(self) -> None:
         for change in self._quarantine.take_changes():
             self.notes.append(
                 decisions.QuarantineChanged(
                     change.fingerprint,
-                    bool(change.ends),
-                    len(change.ends),
+                    bool(change.crashes),
+                    len(change.crashes),
                     change.is_own,
                 )
             )
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -125,8 +125,8 @@
             return self._handle_busy(ticket, path, failure, now_s)
         self.network.blame(ticket, path, failure, now_s)
         if failure.is_cut and ticket.starts:
-            self.quarantine.note_cut(
-                quarantines.Cut(
+            self.quarantine.record_cut(
+                quarantines.CutAttempt(
                     ticket.arrival.fingerprint,
                     ticket.starts,
                     failure.has_brought,
@@ -135,7 +135,7 @@
                 now_s,
             )
             self._settle(now_s)
-        if self.quarantine.is_held(ticket.arrival.fingerprint):
+        if self.quarantine.is_blocked(ticket.arrival.fingerprint):
             return [
                 *self._refuse_held(failure.id, failure.reason, now_s),
                 *self._start_waiting(now_s),
@@ -166,7 +166,7 @@
         if ticket is None:
             return []
         if is_answered:
-            self.quarantine.note_answered(ticket.arrival.fingerprint, now_s)
+            self.quarantine.record_answer(ticket.arrival.fingerprint, now_s)
         queues.remove(self.queue, request_id)
         if self._release(ticket) is not None:
             queues.note_done(self.queue, ticket.graph, now_s)
@@ -186,7 +186,7 @@
         self.network.mark_leaving(message.leaving, now_s)
         self._shares.note(message.demand, message.listed, now_s)
         self.network.rebuild()
-        self.quarantine.hear(message.ended, now_s)
+        self.quarantine.apply_peer_update(message.ended, now_s)
         self._settle(now_s)
         self.availability.hear(message, now_s)
         return [*self._refuse_waiting(now_s), *self._start_waiting(now_s)]
@@ -264,29 +264,29 @@
             now_s: Monotonic time.
         """
         if is_answered:
-            self.quarantine.note_answered(fingerprint, now_s)
+            self.quarantine.record_answer(fingerprint, now_s)
             return
         start = self.network.name_start(name)
-        self.quarantine.note_cut(
-            quarantines.Cut(fingerprint, (start,), False, now_s), now_s
+        self.quarantine.record_cut(
+            quarantines.CutAttempt(fingerprint, (start,), False, now_s), now_s
         )
         self._settle(now_s)
 
     def list_ended(self, now_s: float) -> dict[str, dict[str, float]]:
         """Returns upstreams that ended under requests, for other hosts."""
-        return self.quarantine.list_told(ENDED_TOLD, now_s)
+        return self.quarantine.list_updates(ENDED_TOLD, now_s)
 
     # Decisions.
 
     def _settle(self, now_s: float) -> None:
         """Counts the upstreams that have turned out to have ended."""
-        self.quarantine.settle(self.network.look_at, now_s)
+        self.quarantine.resolve_cuts(self.network.look_at, now_s)
         for change in self.quarantine.take_changes():
             decisions.record(
                 decisions.QuarantineChanged(
                     change.fingerprint,
-                    bool(change.ends),
-                    len(change.ends),
+                    bool(change.crashes),
+                    len(change.crashes),
                     change.is_own,
                 )
             )
@@ -310,14 +310,14 @@
         return [
             effect
             for i in list(self.queue.waiting)
-            if self.quarantine.is_held(self.tickets[i].arrival.fingerprint)
+            if self.quarantine.is_blocked(self.tickets[i].arrival.fingerprint)
             for effect in self._refuse_held(i, "waited", now_s)
         ]
 
     def _admit(
         self, ticket: requests.Ticket, now_s: float
     ) -> list[requests.Effect]:
-        if self.quarantine.is_held(ticket.arrival.fingerprint):
+        if self.quarantine.is_blocked(ticket.arrival.fingerprint):
             return self._refuse_held(ticket.arrival.id, "known", now_s)
         item = self._make_waiting(ticket, now_s)
         graph = self.network.graphs.get(ticket.graph)
--- a/egretspur/routing/network.py
+++ b/egretspur/routing/network.py
@@ -127,15 +127,15 @@
             n for n in self.upstreams if self.get_backoff_s(n, now_s)
         )
 
-    def look_at(self, start: str) -> quarantine.State:
+    def look_at(self, start: str) -> quarantine.UpstreamState:
         """Returns what is known of an upstream's start after a cut.
 
         It is not asked; the list tells of another start some seconds later.
         """
         name = start.rpartition(START_MARK)[0]
         if name not in self.upstreams or self.name_start(name) != start:
-            return quarantine.State.ENDED
-        return quarantine.State.UNKNOWN
+            return quarantine.UpstreamState.CRASHED
+        return quarantine.UpstreamState.UNKNOWN
 
     def list_usable(self, service: str) -> list[tables.Upstream]:
         """Returns a plain service's replicas that may be given a call."""
--- a/tests/admission/machine.py
+++ b/tests/admission/machine.py
@@ -52,13 +52,13 @@
         # Requests cut at starts of which nothing is known yet.
         self.open: set[tuple[str, str]] = set()
 
-    def look(self, start: str) -> quarantine.State:
+    def look(self, start: str) -> quarantine.UpstreamState:
         """Returns what all hosts know of a start."""
         if start in self.ended:
-            return quarantine.State.ENDED
+            return quarantine.UpstreamState.CRASHED
         if start in self.living:
-            return quarantine.State.ALIVE
-        return quarantine.State.UNKNOWN
+            return quarantine.UpstreamState.ALIVE
+        return quarantine.UpstreamState.UNKNOWN
 
     @stateful.rule(
         name=PRINT,
@@ -78,10 +78,10 @@
                 # It may have ended under that one.
                 self.truths[other].ends[start] = 1.0
                 self.truths[other].is_clear = False
-        cut = quarantine.Cut(name, (start,), brought, self.now_s)
+        cut = quarantine.CutAttempt(name, (start,), brought, self.now_s)
         state = self.hosts[host]
-        state.note_cut(cut, self.now_s)
-        state.settle(self.look, self.now_s)
+        state.record_cut(cut, self.now_s)
+        state.resolve_cuts(self.look, self.now_s)
         truth = self.truths[name]
         weight = max(truth.ends.get(start, 0.0), cut.weight)
         truth.ends[start] = weight
@@ -92,8 +92,8 @@
     def break_off(self, host: int, name: str, start: str) -> None:
         """A connection breaks; nobody knows yet whether its upstream lives."""
         if start not in self.ended:
-            cut = quarantine.Cut(name, (start,), False, self.now_s)
-            self.hosts[host].note_cut(cut, self.now_s)
+            cut = quarantine.CutAttempt(name, (start,), False, self.now_s)
+            self.hosts[host].record_cut(cut, self.now_s)
             self.truths[name].cut.add(start)
             self.open.add((name, start))
 
@@ -103,22 +103,22 @@
         if start not in self.ended:
             self.living.add(start)
             for host in self.hosts:
-                host.settle(self.look, self.now_s)
+                host.resolve_cuts(self.look, self.now_s)
             self.living.discard(start)
             self.open = {o for o in self.open if o[1] != start}
 
     @stateful.rule(host=HOST, name=PRINT)
     def answer(self, host: int, name: str) -> None:
         """A request is answered to its end."""
-        self.hosts[host].note_answered(name, self.now_s)
+        self.hosts[host].record_answer(name, self.now_s)
         self.truths[name].was_answered = True
         self.truths[name].is_clear = True
 
     @stateful.rule(teller=HOST, hearer=HOST)
     def tell(self, teller: int, hearer: int) -> None:
         """A datagram arrives; others are lost."""
-        told = self.hosts[teller].list_told(8, self.now_s)
-        self.hosts[hearer].hear(told, self.now_s)
+        told = self.hosts[teller].list_updates(8, self.now_s)
+        self.hosts[hearer].apply_peer_update(told, self.now_s)
 
     @stateful.rule(seconds=st.sampled_from([0.05, 0.2]))
     def wait(self, seconds: float) -> None:
@@ -130,18 +130,18 @@
         """What lives is found to live, and all hear each other."""
         self.living = set("abcde") - self.ended
         for host in self.hosts:
-            host.settle(self.look, self.now_s)
+            host.resolve_cuts(self.look, self.now_s)
         self.living = set()
         self.open.clear()
         for _ in range(HOSTS):
             for teller in self.hosts:
-                told = teller.list_told(8, self.now_s)
+                told = teller.list_updates(8, self.now_s)
                 for hearer in self.hosts:
-                    hearer.hear(told, self.now_s)
+                    hearer.apply_peer_update(told, self.now_s)
         for name, truth in self.truths.items():
-            held = [h.is_held(name) for h in self.hosts]
+            held = [h.is_blocked(name) for h in self.hosts]
             if not truth.was_answered:
-                is_due = truth.weigh() >= quarantine.ENDS
+                is_due = truth.weigh() >= quarantine.CRASH_THRESHOLD
                 assert held == [is_due] * HOSTS, (name, truth, held)
                 self._check_ends(name, truth)
             elif truth.is_clear:
@@ -149,9 +149,9 @@
 
     def _check_ends(self, name: str, truth: Truth) -> None:
         """Checks that each host knows just what ended under a request."""
-        ends = {quarantine.name_start(s): w for s, w in truth.ends.items()}
+        ends = {quarantine.make_start_id(s): w for s, w in truth.ends.items()}
         for host in self.hosts:
-            known = host.list_told(8, self.now_s).get(name, {})
+            known = host.list_updates(8, self.now_s).get(name, {})
             assert known == ends, (name, truth, known)
 
     @stateful.invariant()
@@ -159,7 +159,13 @@
         """Checks that nothing is held without enough ends or cuts."""
         for name, truth in self.truths.items():
             for host in self.hosts:
-                if host.is_held(name):
-                    assert len(truth.cut) >= quarantine.ENDS, (name, truth)
-                if name in host.list_held():
-                    assert truth.weigh() >= quarantine.ENDS, (name, truth)
+                if host.is_blocked(name):
+                    assert len(truth.cut) >= quarantine.CRASH_THRESHOLD, (
+                        name,
+                        truth,
+                    )
+                if name in host.list_quarantined():
+                    assert truth.weigh() >= quarantine.CRASH_THRESHOLD, (
+                        name,
+                        truth,
+                    )
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -79,7 +79,7 @@
     # Whether a datagram between two hosts arrives.
     is_heard: Callable[[peers.Host, peers.Host], bool] = lambda a, b: True
     # Ends of requests as the store has them.
-    stored: dict[str, quarantine.Ends] = attrs.Factory(dict)
+    stored: dict[str, quarantine.Crashes] = attrs.Factory(dict)
     # Runs of which requests bring a part of their answer before engines end.
     has_late_ends: bool = False
 
@@ -122,7 +122,7 @@
 
     def count_held(self) -> list[int]:
         """Returns how many requests each host has in quarantine."""
-        return [len(h.state.quarantine.list_held()) for h in self.hosts]
+        return [len(h.state.quarantine.list_quarantined()) for h in self.hosts]
 
     def start_engine(self, place: str, layers: str) -> None:
         """Starts an engine and lists it."""
@@ -224,7 +224,7 @@
 
     def _save(self, host: peers.Host) -> None:
         for change in host.state.take_unsaved():
-            self.stored[change.fingerprint] = change.ends
+            self.stored[change.fingerprint] = change.crashes
             for other in self.hosts:
                 self.read_store(other)
 
