--- a/egretspur/admission/queue.py
+++ b/egretspur/admission/queue.py
@@ -15,13 +15,13 @@
 from egretspur import errors
 
 # One start in this many goes to the oldest request whatever its priority.
-EVERYONE: Final = 10
+IGNORE_PRIORITY_EVERY: Final = 10
 
 # Weight of a new sample in the estimate of the pause between two ends.
-RATE_WEIGHT: Final = 0.05
+INTERVAL_WEIGHT: Final = 0.05
 
 # Shortest pause counted; several requests can end in one moment.
-SHORTEST_PAUSE_S: Final = 1e-4
+MIN_INTERVAL_S: Final = 1e-4
 
 
 @attrs.frozen
@@ -44,17 +44,17 @@
 class Queue:
     """All waiting requests of one router."""
 
-    length: int
+    max_length: int
     waiting: dict[str, Waiting] = attrs.Factory(dict)
     # Requests started per workspace, on a common scale: a workspace that
     # returns after a pause begins at the present, not with saved-up turns.
     served: dict[str, float] = attrs.Factory(dict)
-    clock: float = 0.0
+    virtual_time: float = 0.0
     starts: int = 0
     # Seconds between two requests that finish, smoothed, and when the last
     # one did; by graph.
-    pauses: dict[str, float] = attrs.Factory(dict)
-    last_done_s: dict[str, float] = attrs.Factory(dict)
+    intervals_s: dict[str, float] = attrs.Factory(dict)
+    last_finish_s: dict[str, float] = attrs.Factory(dict)
 
 
 @attrs.frozen
@@ -64,7 +64,9 @@
     evicted: Waiting | None
 
 
-def offer(queue: Queue, item: Waiting, now_s: float) -> Queued | errors.Refusal:
+def enqueue(
+    queue: Queue, item: Waiting, now_s: float
+) -> Queued | errors.Refusal:
     """Puts a request into the queue or refuses it at once."""
     wait_s = estimate_wait(queue, item)
     if now_s + wait_s > item.deadline_s:
@@ -74,7 +76,7 @@
             retry_after_s=max(1.0, wait_s),
         )
     evicted = None
-    if len(queue.waiting) >= queue.length:
+    if len(queue.waiting) >= queue.max_length:
         evicted = _find_evictable(queue, item)
         if evicted is None:
             return errors.Refusal(
@@ -94,7 +96,7 @@
     workspace, and of each other workspace at most as many as it will have had
     turns itself.
     """
-    pause = queue.pauses.get(item.graph, 0.0)
+    pause = queue.intervals_s.get(item.graph, 0.0)
     if not pause:
         return 0.0
     higher = 0
@@ -115,17 +117,19 @@
     return ahead * pause
 
 
-def order(queue: Queue, is_held: Callable[[Waiting], bool]) -> list[Waiting]:
+def list_candidates(
+    queue: Queue, is_limited: Callable[[Waiting], bool]
+) -> list[Waiting]:
     """Returns one candidate for each graph: the request that is next.
 
     Args:
         queue: The queue.
-        is_held: Tells whether a request's workspace is at its limit.
+        is_limited: Tells whether a request's workspace is at its limit.
     """
-    everyone = queue.starts % EVERYONE == EVERYONE - 1
+    everyone = queue.starts % IGNORE_PRIORITY_EVERY == IGNORE_PRIORITY_EVERY - 1
     best: dict[str, Waiting] = {}
     for item in queue.waiting.values():
-        if is_held(item):
+        if is_limited(item):
             continue
         other = best.get(item.graph)
         if other is None or _rank(queue, item, everyone) < _rank(
@@ -138,30 +142,32 @@
 def start(queue: Queue, item: Waiting) -> None:
     """Takes a request off the queue because it is started."""
     queue.waiting.pop(item.id, None)
-    note_start(queue, item.workspace)
+    record_start(queue, item.workspace)
 
 
-def note_start(queue: Queue, workspace: str) -> None:
+def record_start(queue: Queue, workspace: str) -> None:
     """Counts a started request, queued before or not."""
     queue.starts += 1
-    served = max(queue.served.get(workspace, 0.0), queue.clock)
-    queue.clock = served
+    served = max(queue.served.get(workspace, 0.0), queue.virtual_time)
+    queue.virtual_time = served
     queue.served[workspace] = served + 1.0
-    if len(queue.served) > 4 * queue.length + 64:
+    if len(queue.served) > 4 * queue.max_length + 64:
         queue.served = {
-            w: s for w, s in queue.served.items() if s > queue.clock
+            w: s for w, s in queue.served.items() if s > queue.virtual_time
         }
 
 
-def note_done(queue: Queue, graph: str, now_s: float) -> None:
+def record_finish(queue: Queue, graph: str, now_s: float) -> None:
     """Counts a finished request; what finishes is what makes room."""
-    last = queue.last_done_s.get(graph)
-    queue.last_done_s[graph] = now_s
+    last = queue.last_finish_s.get(graph)
+    queue.last_finish_s[graph] = now_s
     if last is None:
         return
-    pause = max(now_s - last, SHORTEST_PAUSE_S)
-    old = queue.pauses.get(graph, pause)
-    queue.pauses[graph] = (1 - RATE_WEIGHT) * old + RATE_WEIGHT * pause
+    pause = max(now_s - last, MIN_INTERVAL_S)
+    old = queue.intervals_s.get(graph, pause)
+    queue.intervals_s[graph] = (
+        1 - INTERVAL_WEIGHT
+    ) * old + INTERVAL_WEIGHT * pause
 
 
 def remove(queue: Queue, request_id: str) -> None:
@@ -187,11 +193,11 @@
 
 
 def _rank(
-    queue: Queue, item: Waiting, everyone: bool
+    queue: Queue, item: Waiting, ignores_priority: bool
 ) -> tuple[bool, float, float, float, str]:
-    served = max(queue.served.get(item.workspace, 0.0), queue.clock)
-    priority = 0.0 if everyone else -float(item.priority)
-    if everyone:
+    served = max(queue.served.get(item.workspace, 0.0), queue.virtual_time)
+    priority = 0.0 if ignores_priority else -float(item.priority)
+    if ignores_priority:
         return not item.is_begun, priority, item.arrived_s, served, item.id
     return not item.is_begun, priority, served, item.arrived_s, item.id
 
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -149,7 +149,7 @@
             self.quarantine.record_answer(ticket.job.fingerprint, now_s)
         queues.remove(self.queue, job_id)
         if ticket.upstream_id:
-            queues.note_done(self.queue, ticket.job.service, now_s)
+            queues.record_finish(self.queue, ticket.job.service, now_s)
         self._release(ticket)
         self._return_repeat(ticket)
         self.counts.finished += 1
@@ -411,7 +411,7 @@
         if not is_behind:
             start = self._try_start(ticket, now_s)
             if start is not None:
-                queues.note_start(self.queue, ticket.job.workspace)
+                queues.record_start(self.queue, ticket.job.workspace)
                 return [*effects, start]
         if is_queued:
             return [*effects, *self._enqueue(ticket, opening, now_s)]
@@ -470,7 +470,7 @@
                 item.deadline_s - now_s,
             )
         )
-        offered = queues.offer(self.queue, item, now_s)
+        offered = queues.enqueue(self.queue, item, now_s)
         if isinstance(offered, errors.Refusal):
             return [self._refuse(ticket, now_s, offered.kind, offered.reason)]
         if offered.evicted is None:
@@ -552,7 +552,7 @@
         while self.queue.waiting:
             items = [
                 i
-                for i in queues.order(self.queue, lambda item: False)
+                for i in queues.list_candidates(self.queue, lambda item: False)
                 if i.graph not in stuck and i.id not in stuck
             ]
             if not items:
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -169,7 +169,7 @@
             self.quarantine.record_answer(ticket.arrival.fingerprint, now_s)
         queues.remove(self.queue, request_id)
         if self._release(ticket) is not None:
-            queues.note_done(self.queue, ticket.graph, now_s)
+            queues.record_finish(self.queue, ticket.graph, now_s)
         self.counts.finished += 1
         return self._start_waiting(now_s)
 
@@ -334,12 +334,12 @@
         if not self._has_rivals(item, hold) and not self._is_held(item, hold):
             grant = self._try_start(ticket, now_s)
             if grant is not None:
-                queues.note_start(self.queue, item.workspace)
+                queues.record_start(self.queue, item.workspace)
                 return [grant]
         limited = self._refuse_limited(ticket, graph, item, now_s)
         if limited:
             return limited
-        offered = queues.offer(self.queue, item, now_s)
+        offered = queues.enqueue(self.queue, item, now_s)
         if isinstance(offered, errors.Refusal):
             if ticket.begun:
                 return self._wait_begun(ticket, item, now_s)
@@ -403,7 +403,7 @@
         hold = self._make_hold()
         while self.queue.waiting:
             started = False
-            for item in queues.order(
+            for item in queues.list_candidates(
                 self.queue, lambda waiting: self._is_held(waiting, hold)
             ):
                 if item.graph in stuck:
--- a/tests/steps/decisions_steps.py
+++ b/tests/steps/decisions_steps.py
@@ -252,7 +252,7 @@
     context.queue = queues.Queue(100)
     for number in range(many + few):
         name = first if number < many else second
-        queues.offer(context.queue, make_waiting(number, name, 5), 0.0)
+        queues.enqueue(context.queue, make_waiting(number, name, 5), 0.0)
 
 
 @given(
@@ -264,16 +264,16 @@
 ) -> None:
     context.queue = queues.Queue(100)
     item = make_waiting(0, "low", low)
-    queues.offer(context.queue, attrs.evolve(item, arrived_s=-1.0), 0.0)
+    queues.enqueue(context.queue, attrs.evolve(item, arrived_s=-1.0), 0.0)
     for number in range(many):
-        queues.offer(context.queue, make_waiting(number, "high", high), 0.0)
+        queues.enqueue(context.queue, make_waiting(number, "high", high), 0.0)
 
 
 @when("{count:d} requests are started")
 def step_start(context: Any, count: int) -> None:
     context.started = []
     for _ in range(count):
-        item = queues.order(context.queue, lambda w: False)[0]
+        item = queues.list_candidates(context.queue, lambda w: False)[0]
         queues.start(context.queue, item)
         context.started.append(item)
 
@@ -297,13 +297,13 @@
 def step_full(context: Any, count: int, priority: int) -> None:
     context.queue = queues.Queue(count)
     for number in range(count):
-        queues.offer(context.queue, make_waiting(number, "a", priority), 0.0)
+        queues.enqueue(context.queue, make_waiting(number, "a", priority), 0.0)
 
 
 @when("a request of priority {priority:d} is offered")
 def step_offer(context: Any, priority: int) -> None:
     item = make_waiting(99, f"p{priority}", priority)
-    context.offered = queues.offer(context.queue, item, 0.0)
+    context.offered = queues.enqueue(context.queue, item, 0.0)
 
 
 @then("it is queued and one of priority {priority:d} gives way")
@@ -317,29 +317,29 @@
 def step_rate(context: Any, rate: int, count: int) -> None:
     context.queue = queues.Queue(100)
     for number in range(20):
-        queues.note_done(context.queue, "g", number / rate)
+        queues.record_finish(context.queue, "g", number / rate)
     for number in range(count):
-        queues.offer(context.queue, make_waiting(number, "a", 5), 10.0)
+        queues.enqueue(context.queue, make_waiting(number, "a", 5), 10.0)
 
 
 @when("a request with a deadline in {seconds:d} s is offered")
 def step_deadline(context: Any, seconds: int) -> None:
     item = make_waiting(99, "a", 5, deadline_s=10.0 + seconds)
-    context.offered = queues.offer(context.queue, item, 10.0)
+    context.offered = queues.enqueue(context.queue, item, 10.0)
 
 
 @given('a full queue of {count:d} requests of "{name}" and one of "{other}"')
 def step_full_of(context: Any, count: int, name: str, other: str) -> None:
     context.queue = queues.Queue(count + 1)
     for number in range(count):
-        queues.offer(context.queue, make_waiting(number, name, 5), 0.0)
-    queues.offer(context.queue, make_waiting(0, other, 5), 0.0)
+        queues.enqueue(context.queue, make_waiting(number, name, 5), 0.0)
+    queues.enqueue(context.queue, make_waiting(0, other, 5), 0.0)
 
 
 @when('a request of "{name}" is offered')
 def step_offer_of(context: Any, name: str) -> None:
     item = make_waiting(99, name, 5)
-    context.offered = queues.offer(context.queue, item, 0.0)
+    context.offered = queues.enqueue(context.queue, item, 0.0)
 
 
 @then('it is queued and the newest of "{name}" gives way')
@@ -353,7 +353,7 @@
 def step_wait(context: Any, count: int, name: str, pause: float) -> None:
     context.queue = queues.Queue(100)
     for number in range(20):
-        queues.note_done(context.queue, "g", number * pause)
+        queues.record_finish(context.queue, "g", number * pause)
     for number in range(count):
         item = make_waiting(number, name, 5, deadline_s=10.0)
         context.queue.waiting[item.id] = item
