--- a/egretspur/admission/room.py
+++ b/egretspur/admission/room.py
@@ -13,29 +13,35 @@
 
 # Part of the expected answer that is reserved beside the prompt. Requests are
 # at different points of their answers; on average half of it is written.
-ANSWER_PART: Final = 0.6
+RESERVED_ANSWER_FRACTION: Final = 0.6
 
 # Part of an engine's request memory that is given out; the rest is for
 # answers longer than expected.
-USABLE: Final = 0.92
+USABLE_FRACTION: Final = 0.92
 
 
 def estimate_tokens(
-    prompt: int, longest: int, estimate: int, usual: int
+    prompt: int, max_answer: int, expected_answer: int, mean_answer: int
 ) -> float:
     """Returns the tokens to reserve on each layer.
 
     Args:
         prompt: Tokens of the prompt.
-        longest: Most tokens of the answer.
-        estimate: The caller's estimate of the answer; 0 if there is none.
-        usual: Mean answer of the service.
+        max_answer: Most tokens of the answer.
+        expected_answer: The caller's estimate of the answer; 0 if there is none.
+        mean_answer: Mean answer of the service.
     """
-    answer = min(estimate or usual, longest) if longest else usual
-    return prompt + ANSWER_PART * answer
+    answer = (
+        min(expected_answer or mean_answer, max_answer)
+        if max_answer
+        else mean_answer
+    )
+    return prompt + RESERVED_ANSWER_FRACTION * answer
 
 
-def compute_size(spec: config.EngineSpec, entry: upstreams.Upstream) -> float:
+def compute_capacity(
+    spec: config.EngineSpec, entry: upstreams.Upstream
+) -> float:
     """Returns an engine's request memory, in tokens times layers."""
     kind = spec.accelerators.get(entry.accelerator)
     if kind is None or entry.layers is None:
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -464,7 +464,7 @@
         if entry.layers is None or kind is None:
             return None
         usage = self.memory.get_usage(entry.id, now_s)
-        size = room.compute_size(spec, entry) * room.USABLE
+        size = room.compute_capacity(spec, entry) * room.USABLE_FRACTION
         step_s = spec.step_s + usage.count * costs.request_s
         slow = self.paces.get(entry.id, now_s)
         read_s = slow * kind.read_factor * costs.chunk_s
@@ -575,7 +575,7 @@
             if card is None:
                 continue
             step_s += (part.last - part.first) * card.layer_s
-            size = room.compute_size(spec, entry) * room.USABLE
+            size = room.compute_capacity(spec, entry) * room.USABLE_FRACTION
             free = min(free, card.free / size if size else 0.0)
         return step_s, free
 
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -127,7 +127,7 @@
     assert len(context.started) > 20
     for name in CHAIN:
         entry = state.roster.entries[name]
-        size = room.compute_size(fleets.SPEC, entry)
+        size = room.compute_capacity(fleets.SPEC, entry)
         used = state.memory.get_usage(name, context.now_s).room
         assert 0 < used <= size, (name, used, size)
 
@@ -615,7 +615,7 @@
 def report_used(context: Any, part: float) -> None:
     """Has an engine report how much of its memory is in use."""
     state = context.broker.fleet
-    size = room.compute_size(fleets.SPEC, state.roster.entries["a100-1"])
+    size = room.compute_capacity(fleets.SPEC, state.roster.entries["a100-1"])
     report = attrs.evolve(upstreams.PLAIN_REPORT, used=part * size, size=size)
     state.note_report("a100-1", report, context.now_s)
     told = state.memory.list_excess(context.now_s)
--- a/tests/steps/search_steps.py
+++ b/tests/steps/search_steps.py
@@ -25,7 +25,7 @@
     for entry in state.roster.entries.values():
         if place not in ("", entry.data_centre):
             continue
-        size = room.compute_size(fleets.SPEC, entry) * room.USABLE
+        size = room.compute_capacity(fleets.SPEC, entry) * room.USABLE_FRACTION
         used = size - left * entry.layers.count
         state.memory.add(entry.id, 1, used)
 
