--- a/egretspur/admission/repeats.py
+++ b/egretspur/admission/repeats.py
@@ -29,7 +29,7 @@
     since_s: float = -math.inf
 
 
-class Repeats:
+class RetryBudgets:
     """See the module's docstring."""
 
     def __init__(
@@ -51,7 +51,7 @@
         self._rng = rng or random.Random()
         self._since_s = options.since_s
         self._budgets: dict[str, shared.SharedBudget] = {}
-        self._ledger = shared.Ledger(data_centre, options.window_s)
+        self._ledger = shared.PeerLedger(data_centre, options.window_s)
 
     def is_new(self, now_s: float) -> bool:
         """Tells whether repeats from before this host's start may count."""
@@ -67,21 +67,21 @@
 
     def spend(self, service: str, now_s: float) -> bool:
         """Takes one repeat; tells whether there was one."""
-        others = self._ledger.sum_up(service, now_s)
+        others = self._ledger.sum_peers(service, now_s)
         return self._get(service).spend(
             self.hosts, now_s, others, self._get_age_s(now_s)
         )
 
-    def give_back(self, service: str, taken_s: float) -> None:
+    def refund(self, service: str, taken_s: float) -> None:
         """Returns a repeat that was taken then and not sent."""
-        self._get(service).give_back(taken_s)
+        self._get(service).refund(taken_s)
 
-    def get_standing(self, service: str, now_s: float) -> shared.Standing:
+    def get_balance(self, service: str, now_s: float) -> shared.Balance:
         """Returns where this host stands with a service's budget."""
         budget = self._get(service)
-        return budget.get_standing(self.hosts, self._get_age_s(now_s))
+        return budget.get_balance(self.hosts, self._get_age_s(now_s))
 
-    def hear(
+    def apply_peer_update(
         self,
         host: str,
         data_centre: str,
@@ -99,21 +99,21 @@
             is_new: That host has heard others for less than a window.
         """
         self._since_s = min(self._since_s, now_s)
-        self._ledger.hear(host, data_centre, spent, now_s, is_new)
+        self._ledger.apply_peer_update(host, data_centre, spent, now_s, is_new)
 
     def list_spent(self, now_s: float) -> dict[str, shared.Spent]:
         """Returns what this host has spent, by service."""
         age_s = self._get_age_s(now_s)
         return {
-            service: budget.tell(self.hosts, now_s, age_s)
+            service: budget.report_spent(self.hosts, now_s, age_s)
             for service, budget in self._budgets.items()
         }
 
-    def sum_spent(self, now_s: float) -> dict[str, shared.Spent]:
+    def sum_local(self, now_s: float) -> dict[str, shared.Spent]:
         """Returns what the hosts of this data centre have spent."""
         return {
             service: own.add(
-                self._ledger.sum_up(service, now_s, near_only=True)
+                self._ledger.sum_peers(service, now_s, local_only=True)
             )
             for service, own in self.list_spent(now_s).items()
         }
--- a/egretspur/admission/shared.py
+++ b/egretspur/admission/shared.py
@@ -33,25 +33,25 @@
 
 # Part of the allowance that is used. The rest is for new hosts, and covers
 # windows that are cut otherwise than here, and repeats under way.
-USED: Final = 0.85
+USED_FRACTION: Final = 0.85
 
 # Part of the allowance that new hosts may use besides.
-RESERVE: Final = 0.1
+RESERVE_FRACTION: Final = 0.1
 
 # Part of its share that a host keeps to itself, and spends whatever the others
 # do. With the first loan that is 0.85 of its even share at once, among 195
 # hosts the same four repeats; more would leave less to those who need it.
-FIRM: Final = 0.7
+GUARANTEED_FRACTION: Final = 0.7
 
 # Part of the pool's rest for hosts that begin to borrow.
-BEGINNERS: Final = 0.5
+NEW_BORROWER_FRACTION: Final = 0.5
 
 # Seconds between two loans: what was borrowed is told to all within two
 # datagrams, one of which may be lost.
-LOAN_S: Final = 0.6
+LOAN_INTERVAL_S: Final = 0.6
 
 # A host's part is lent for so long after its last word.
-HEARD_S: Final = 0.9
+PEER_TIMEOUT_S: Final = 0.9
 
 
 @attrs.frozen
@@ -76,17 +76,17 @@
         )
 
 
-NOBODY: Final = Spent()
+NOTHING_SPENT: Final = Spent()
 
 
 @attrs.frozen
-class Standing:
+class Balance:
     """Where a host stands with its part, for the log."""
 
     # Repeats in the last window.
     sent: int = 0
     # Repeats that it may send in one: its own, and borrowed ones.
-    part: float = 0.0
+    guaranteed: float = 0.0
     borrowed: float = 0.0
 
 
@@ -101,10 +101,10 @@
     window_s: float
     # Part of a repeat that a new host has from its start, drawn by each: many
     # that have less than a whole one each then have their sum.
-    draw: float = 0.0
+    start_credit: float = 0.0
     # Times of this host's requests and repeats of the last window.
     _requests: collections.deque[float] = attrs.Factory(collections.deque)
-    _repeats: collections.deque[float] = attrs.Factory(collections.deque)
+    _retries: collections.deque[float] = attrs.Factory(collections.deque)
     # Borrowed of the pool, and when the next loan may be taken.
     _borrowed: float = 0.0
     _next_loan_s: float = 0.0
@@ -112,13 +112,13 @@
     def earn(self, now_s: float) -> None:
         """Counts a first attempt."""
         self._requests.append(now_s)
-        self._forget(now_s)
+        self._drop_expired(now_s)
 
     def spend(
         self,
         hosts: int,
         now_s: float,
-        others: Spent = NOBODY,
+        others: Spent = NOTHING_SPENT,
         age_s: float = math.inf,
     ) -> bool:
         """Takes one repeat; tells whether there was one.
@@ -129,43 +129,47 @@
             others: What the other hosts have spent, as far as it was heard.
             age_s: Since this host began to hear the others.
         """
-        self._forget(now_s)
-        wanted = len(self._repeats) + 1
-        firm = self._get_firm(hosts, age_s)
+        self._drop_expired(now_s)
+        wanted = len(self._retries) + 1
+        firm = self._get_guaranteed(hosts, age_s)
         if wanted > firm + self._borrowed and not self._is_new(age_s):
             self._borrow(hosts, now_s, others)
         if wanted > firm + self._borrowed:
             return False
-        self._repeats.append(now_s)
+        self._retries.append(now_s)
         return True
 
-    def give_back(self, taken_s: float) -> None:
+    def refund(self, taken_s: float) -> None:
         """Returns a repeat that was taken then and not sent."""
-        if taken_s in self._repeats:
-            self._repeats.remove(taken_s)
+        if taken_s in self._retries:
+            self._retries.remove(taken_s)
 
-    def tell(self, hosts: int, now_s: float, age_s: float = math.inf) -> Spent:
+    def report_spent(
+        self, hosts: int, now_s: float, age_s: float = math.inf
+    ) -> Spent:
         """Returns what this host has spent, for the others."""
-        self._forget(now_s)
+        self._drop_expired(now_s)
         if self._is_new(age_s):
-            return NOBODY
-        if now_s >= self._next_loan_s + LOAN_S:
-            self._give_back(hosts, 0.0)
-        return self._describe(hosts)
+            return NOTHING_SPENT
+        if now_s >= self._next_loan_s + LOAN_INTERVAL_S:
+            self._return_unused(hosts, 0.0)
+        return self._summarize(hosts)
 
-    def get_standing(self, hosts: int, age_s: float = math.inf) -> Standing:
+    def get_balance(self, hosts: int, age_s: float = math.inf) -> Balance:
         """Returns where this host stands, as of its last repeat."""
-        return Standing(
-            len(self._repeats), self._get_firm(hosts, age_s), self._borrowed
+        return Balance(
+            len(self._retries),
+            self._get_guaranteed(hosts, age_s),
+            self._borrowed,
         )
 
     def _is_new(self, age_s: float) -> bool:
         """Tells whether repeats from before this host's start may count."""
         return age_s < self.window_s
 
-    def _describe(self, hosts: int) -> Spent:
+    def _summarize(self, hosts: int) -> Spent:
         # Its part may have become smaller than what it has spent of it.
-        beyond = len(self._repeats) - self._get_firm(hosts)
+        beyond = len(self._retries) - self._get_guaranteed(hosts)
         borrowed = max(self._borrowed, beyond)
         return Spent(1, len(self._requests), borrowed, int(borrowed > 0))
 
@@ -173,51 +177,60 @@
         """Takes a part of what is left in the pool."""
         if now_s < self._next_loan_s:
             return
-        self._next_loan_s = now_s + LOAN_S
+        self._next_loan_s = now_s + LOAN_INTERVAL_S
         # Less than a whole repeat goes to the next one.
-        self._give_back(hosts, 1.0)
-        known = others.add(self._describe(hosts))
+        self._return_unused(hosts, 1.0)
+        known = others.add(self._summarize(hosts))
         share = self._get_share(known.hosts, hosts, known.requests)
-        pool = USED * (1 - FIRM) * share
+        pool = USED_FRACTION * (1 - GUARANTEED_FRACTION) * share
         rest = max(0.0, pool - known.borrowed)
         if self._borrowed > 0:
-            self._borrowed += (1 - BEGINNERS) * rest / known.borrowers
+            self._borrowed += (
+                (1 - NEW_BORROWER_FRACTION) * rest / known.borrowers
+            )
         else:
-            self._borrowed += BEGINNERS * rest / known.hosts
+            self._borrowed += NEW_BORROWER_FRACTION * rest / known.hosts
 
-    def _give_back(self, hosts: int, kept: float) -> None:
+    def _return_unused(self, hosts: int, kept: float) -> None:
         """Returns what was borrowed and not spent, or long ago, but a rest."""
-        spent = max(0.0, len(self._repeats) - self._get_firm(hosts))
+        spent = max(0.0, len(self._retries) - self._get_guaranteed(hosts))
         self._borrowed = min(self._borrowed, spent + kept)
 
-    def _get_firm(self, hosts: int, age_s: float = math.inf) -> float:
+    def _get_guaranteed(self, hosts: int, age_s: float = math.inf) -> float:
         """Returns the repeats that this host has to itself."""
         requests = len(self._requests)
         if self._is_new(age_s):
             # Its part may be spent already, by itself before its start.
             part = max(0.0, age_s / self.window_s)
-            return RESERVE * self._get_share(part, hosts, requests) + self.draw
-        return USED * FIRM * self._get_share(1, hosts, requests)
+            return (
+                RESERVE_FRACTION * self._get_share(part, hosts, requests)
+                + self.start_credit
+            )
+        return (
+            USED_FRACTION
+            * GUARANTEED_FRACTION
+            * self._get_share(1, hosts, requests)
+        )
 
     def _get_share(self, part: float, hosts: int, requests: int) -> float:
         """Returns the repeats allowed to some hosts, given their requests."""
         allowed = self.allowance * min(1.0, part / max(1, hosts))
         return allowed + self.ratio * requests
 
-    def _forget(self, now_s: float) -> None:
-        for times in (self._requests, self._repeats):
+    def _drop_expired(self, now_s: float) -> None:
+        for times in (self._requests, self._retries):
             while times and now_s - times[0] >= self.window_s:
                 times.popleft()
 
 
 @attrs.frozen
-class _Told:
+class _PeerSpent:
     at_s: float
     data_centre: str
     spent: Mapping[str, Spent]
 
 
-class Ledger:
+class PeerLedger:
     """What other hosts said of their repeats, by service."""
 
     def __init__(self, data_centre: str, window_s: float) -> None:
@@ -233,9 +246,9 @@
         # where its speaker changes the former one's sum is of the same hosts.
         # What a new host says stands beside what was said before its start,
         # which it does not know.
-        self._told: dict[tuple[str, bool], _Told] = {}
+        self._by_peer: dict[tuple[str, bool], _PeerSpent] = {}
 
-    def hear(
+    def apply_peer_update(
         self,
         host: str,
         data_centre: str,
@@ -254,26 +267,26 @@
         """
         is_near = data_centre == self._data_centre
         key = host if is_near else data_centre
-        self._told[key, is_new] = _Told(now_s, data_centre, spent)
+        self._by_peer[key, is_new] = _PeerSpent(now_s, data_centre, spent)
         if not is_new:
-            self._told.pop((key, True), None)
+            self._by_peer.pop((key, True), None)
 
-    def sum_up(
-        self, service: str, now_s: float, near_only: bool = False
+    def sum_peers(
+        self, service: str, now_s: float, local_only: bool = False
     ) -> Spent:
         """Returns what the other hosts have spent, as far as it was heard."""
-        self._told = {
+        self._by_peer = {
             k: t
-            for k, t in self._told.items()
+            for k, t in self._by_peer.items()
             if now_s - t.at_s < self._window_s
         }
-        total = NOBODY
-        for told in self._told.values():
-            if near_only and told.data_centre != self._data_centre:
+        total = NOTHING_SPENT
+        for told in self._by_peer.values():
+            if local_only and told.data_centre != self._data_centre:
                 continue
             # Who had no request for a service tells nothing of it.
-            spent = told.spent.get(service, NOBODY)
-            if now_s - told.at_s >= HEARD_S:
+            spent = told.spent.get(service, NOTHING_SPENT)
+            if now_s - told.at_s >= PEER_TIMEOUT_S:
                 # It may be gone; its repeats stay in the window.
                 spent = Spent(borrowed=spent.borrowed)
             total = total.add(spent)
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -92,7 +92,7 @@
         news,
         usage=state.fleet.memory.sum_near(now_s),
         suspects=state.fleet.list_suspects(now_s, True),
-        spent=state.repeats.sum_spent(now_s),
+        spent=state.repeats.sum_local(now_s),
         limits=state.throttle.list_told(now_s, is_speaker=True),
     )
 
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -79,7 +79,7 @@
         )
         self.counts = jobs.Counts()
         self.tickets: dict[str, tickets.Ticket] = {}
-        self.repeats = repeats.Repeats(data_centre, budget, rng)
+        self.repeats = repeats.RetryBudgets(data_centre, budget, rng)
         self._rng = rng
         self._services: Mapping[str, config.Service] = {}
         # Until when a queue that was served is not served again, unless the
@@ -273,14 +273,14 @@
     def _return_repeat(self, ticket: tickets.Ticket) -> None:
         """Gives back a repeat that was taken and not sent."""
         if ticket.repeat_s is not None:
-            self.repeats.give_back(ticket.job.service, ticket.repeat_s)
+            self.repeats.refund(ticket.job.service, ticket.repeat_s)
             ticket.repeat_s = None
 
     def _describe_repeat(
         self, ticket: tickets.Ticket, now_s: float
     ) -> decisions.RepeatTaken | decisions.BudgetEmpty:
         service = ticket.job.service
-        at = self.repeats.get_standing(service, now_s)
+        at = self.repeats.get_balance(service, now_s)
         make = (
             decisions.BudgetEmpty
             if ticket.repeat_s is None
@@ -290,7 +290,7 @@
             ticket.job.id,
             service,
             at.sent,
-            at.part,
+            at.guaranteed,
             at.borrowed,
             self.repeats.hosts,
         )
@@ -354,7 +354,7 @@
         self.fleet.hear(news, now_s)
         self.quarantine.apply_peer_update(news.ended, now_s)
         self._crashes.settle(now_s)
-        self.repeats.hear(
+        self.repeats.apply_peer_update(
             news.host, news.data_centre, news.spent, now_s, news.is_new
         )
 
--- a/tests/admission/sharing.py
+++ b/tests/admission/sharing.py
@@ -35,7 +35,7 @@
 
     ip: str
     place: str
-    repeats: repeats.Repeats
+    repeats: repeats.RetryBudgets
     peers: exchange.Peers
     # News that it has sent since its start, and whether it has had any.
     turn: int = 0
@@ -89,9 +89,9 @@
 
     def _make_state(
         self, ip: str, place: str
-    ) -> tuple[repeats.Repeats, exchange.Peers]:
+    ) -> tuple[repeats.RetryBudgets, exchange.Peers]:
         return (
-            repeats.Repeats(place, self.options, self.rng),
+            repeats.RetryBudgets(place, self.options, self.rng),
             exchange.Peers(ip, place, self._seeds, self.rng, self._places),
         )
 
@@ -125,7 +125,7 @@
         own = host.repeats.list_spent(self.now_s)
         self._send(host, host.peers.list_near(self.now_s), own, named)
         if is_speaker:
-            summed = host.repeats.sum_spent(self.now_s)
+            summed = host.repeats.sum_local(self.now_s)
             self._send(host, far, summed, named)
 
     def _send(
@@ -182,7 +182,7 @@
     def _take(self, host: Host, news: datagrams.News) -> None:
         host.has_heard = True
         host.peers.note(news, self.now_s)
-        host.repeats.hear(
+        host.repeats.apply_peer_update(
             news.host, news.data_centre, news.spent, self.now_s, news.is_new
         )
 
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -390,7 +390,7 @@
 
 def count_repeats(context: Any) -> int:
     """Returns the repeats of the budget that are taken."""
-    return int(context.broker.repeats.get_standing("llm", context.now_s).sent)
+    return int(context.broker.repeats.get_balance("llm", context.now_s).sent)
 
 
 @then(
--- a/tests/steps/shared_steps.py
+++ b/tests/steps/shared_steps.py
@@ -29,7 +29,7 @@
     name: str
     place: str
     budget: shared.SharedBudget
-    ledger: shared.Ledger
+    ledger: shared.PeerLedger
     # It hears nobody and nobody hears it.
     is_cut_off: bool = False
     repeats: list[float] = attrs.Factory(list)
@@ -46,7 +46,7 @@
                 f"h{i}",
                 f"dc-{i % places}",
                 shared.SharedBudget(RATIO, ALLOWANCE, WINDOW_S),
-                shared.Ledger(f"dc-{i % places}", WINDOW_S),
+                shared.PeerLedger(f"dc-{i % places}", WINDOW_S),
             )
             for i in range(count)
         ]
@@ -58,7 +58,7 @@
 
     def repeat(self, host: Host) -> bool:
         """Has a host ask for a repeat."""
-        others = host.ledger.sum_up(SERVICE, self.now_s)
+        others = host.ledger.sum_peers(SERVICE, self.now_s)
         count = len(self.hosts)
         if not host.budget.spend(count, self.now_s, others):
             return False
@@ -72,11 +72,11 @@
         spoken: dict[str, Host] = {}
         for host in talking:
             spoken.setdefault(host.place, host)
-            told = {SERVICE: host.budget.tell(count, self.now_s)}
+            told = {SERVICE: host.budget.report_spent(count, self.now_s)}
             self._send(host, host.place, told, rng, lost)
         for place, host in spoken.items():
-            own = host.budget.tell(count, self.now_s)
-            near = host.ledger.sum_up(SERVICE, self.now_s, near_only=True)
+            own = host.budget.report_spent(count, self.now_s)
+            near = host.ledger.sum_peers(SERVICE, self.now_s, local_only=True)
             self._send(host, "", {SERVICE: own.add(near)}, rng, lost, place)
 
     def _send(
@@ -93,7 +93,9 @@
             if host is sender or not is_meant or host.is_cut_off:
                 continue
             if rng.random() >= lost:
-                host.ledger.hear(sender.name, sender.place, told, self.now_s)
+                host.ledger.apply_peer_update(
+                    sender.name, sender.place, told, self.now_s
+                )
 
     def find_worst(self) -> float:
         """Returns the most of the budget that was spent in any window."""
