--- a/egretspur/admission/throttle.py
+++ b/egretspur/admission/throttle.py
@@ -27,30 +27,30 @@
 from egretspur.admission import demand
 
 # Part of a limit that is used. The rest is for hosts that know too few others.
-USED: Final = 0.9
+USED_FRACTION: Final = 0.9
 
 # What all hosts together may hold ready: so many seconds of a limit, and so
 # many requests besides, without which a low limit would hardly be used.
-READY_S: Final = 0.5
-READY: Final = 1.0
+BURST_S: Final = 0.5
+BURST_REQUESTS: Final = 1.0
 
 # An upstream that takes less, or nothing, is sent so many requests a second:
 # its answer to one is the only way to learn that it takes more again.
-LEAST_PER_S: Final = 0.05
+MIN_RATE_PER_S: Final = 0.05
 
 # Seconds between two looks at what part of a limit is this host's.
-PART_S: Final = 0.25
+SHARE_UPDATE_S: Final = 0.25
 
 # How much older what another host tells is than it says: the way, and the wait
 # for others that come at the same time, in seconds. Were it less, a word that
 # goes round would become newer with each host.
-DELAY_S: Final = 0.1
+PEER_DELAY_S: Final = 0.1
 
 # That a limit is no longer named is told for so long, in seconds.
-LIFTED_TOLD_S: Final = 3.0
+LIFTED_PUBLISH_S: Final = 3.0
 
 # Limits in one datagram.
-MOST_TOLD: Final = 24
+MAX_PUBLISHED: Final = 24
 
 
 @attrs.frozen
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen
-class Told:
+class PublishedLimit:
     """The same as hosts tell each other."""
 
     per_s: float | None
@@ -83,7 +83,7 @@
     # Requests a second that they take of this host from then on.
     per_s: float
 
-    def get_turn_s(self, waiting: int) -> float:
+    def estimate_wait_s(self, waiting: int) -> float:
         """Returns the seconds until one more, after those that wait, is due."""
         return self.wait_s + waiting / self.per_s
 
@@ -93,15 +93,15 @@
 
 
 @attrs.define
-class _Turns:
+class _Pacer:
     """This host's turns at one upstream."""
 
     next_s: float
     period_s: float
     # How long a turn is kept.
-    kept_s: float
+    slot_ttl_s: float
     # When the period is to be looked at again.
-    stale_s: float
+    refresh_s: float
 
 
 class Throttle:
@@ -122,18 +122,20 @@
         self.demand = demand.Demand(data_centre)
         self._rng = rng or random.Random()
         self._limits: dict[str, Limit] = {}
-        self._turns: dict[str, _Turns] = {}
+        self._pacers: dict[str, _Pacer] = {}
         # Upstreams whose last answer named something that is no limit.
         self._unreadable: set[str] = set()
 
-    def note(self, upstream_id: str, per_s: float | None, now_s: float) -> bool:
+    def record_limit(
+        self, upstream_id: str, per_s: float | None, now_s: float
+    ) -> bool:
         """Takes what an answer named; tells whether that is new."""
         self._unreadable.discard(upstream_id)
         if per_s is None and upstream_id not in self._limits:
             return False
-        return self._put(upstream_id, Limit(per_s, now_s))
+        return self._set_limit(upstream_id, Limit(per_s, now_s))
 
-    def note_unreadable(self, upstream_id: str) -> bool:
+    def record_unreadable(self, upstream_id: str) -> bool:
         """Takes that an answer named no limit; tells whether that is new.
 
         What was named before holds.
@@ -142,12 +144,12 @@
         self._unreadable.add(upstream_id)
         return is_new
 
-    def hear(
+    def apply_peer_update(
         self,
         host: str,
         data_centre: str,
         upstream_id: str,
-        told: Told,
+        told: PublishedLimit,
         now_s: float,
     ) -> bool:
         """Takes what another host told; tells whether the limit is new.
@@ -163,14 +165,14 @@
             host, data_centre, upstream_id, told.wanted, now_s
         )
         known = self._limits.get(upstream_id)
-        heard = Limit(told.per_s, now_s - told.age_s - DELAY_S)
+        heard = Limit(told.per_s, now_s - told.age_s - PEER_DELAY_S)
         if known is not None and heard.at_s <= known.at_s:
             return False
-        return self._put(upstream_id, heard)
+        return self._set_limit(upstream_id, heard)
 
-    def list_told(
+    def list_updates(
         self, now_s: float, is_speaker: bool = False
-    ) -> dict[str, Told]:
+    ) -> dict[str, PublishedLimit]:
         """Returns what the other hosts are to be told, the newest first.
 
         Args:
@@ -179,28 +181,33 @@
         """
         count = self.demand.count_local if is_speaker else self.demand.count_own
         rows = [
-            (i, Told(k.per_s, max(0.0, now_s - k.at_s), count(i, now_s)))
+            (
+                i,
+                PublishedLimit(
+                    k.per_s, max(0.0, now_s - k.at_s), count(i, now_s)
+                ),
+            )
             for i, k in self._limits.items()
-            if k.per_s is not None or now_s - k.at_s < LIFTED_TOLD_S
+            if k.per_s is not None or now_s - k.at_s < LIFTED_PUBLISH_S
         ]
         rows.sort(key=lambda row: row[1].age_s)
-        return dict(rows[:MOST_TOLD])
+        return dict(rows[:MAX_PUBLISHED])
 
     def get_limit(self, upstream_id: str) -> float | None:
         """Returns what an upstream takes of all hosts a second, if it says."""
         known = self._limits.get(upstream_id)
         return known.per_s if known else None
 
-    def is_open(self, upstream_id: str, now_s: float) -> bool:
+    def can_send(self, upstream_id: str, now_s: float) -> bool:
         """Tells whether this host may send an upstream a request now."""
         if upstream_id not in self.limited:
             return True
-        return self._get_turns(upstream_id, now_s).next_s <= now_s
+        return self._get_pacer(upstream_id, now_s).next_s <= now_s
 
-    def take(self, upstream_id: str, now_s: float) -> None:
+    def record_send(self, upstream_id: str, now_s: float) -> None:
         """Counts a request that is sent."""
         if upstream_id in self.limited:
-            turns = self._get_turns(upstream_id, now_s)
+            turns = self._get_pacer(upstream_id, now_s)
             turns.next_s += turns.period_s
 
     def find_opening(
@@ -211,7 +218,7 @@
         None if none of them has a limit.
         """
         found = [
-            self._get_turns(i, now_s) for i in self.limited if i in upstream_ids
+            self._get_pacer(i, now_s) for i in self.limited if i in upstream_ids
         ]
         if not found:
             return None
@@ -220,52 +227,52 @@
             sum(1.0 / t.period_s for t in found),
         )
 
-    def forget(self, listed: Container[str]) -> None:
+    def remove_unlisted(self, listed: Container[str]) -> None:
         """Drops what is known of upstreams that are no longer listed."""
         self._unreadable = {i for i in self._unreadable if i in listed}
         gone = [i for i in self._limits if i not in listed]
         for upstream_id in gone:
             del self._limits[upstream_id]
-            self._turns.pop(upstream_id, None)
+            self._pacers.pop(upstream_id, None)
             self.demand.remove_upstream(upstream_id)
         if gone:
-            self._list_limited()
+            self._update_limited()
 
-    def _put(self, upstream_id: str, limit: Limit) -> bool:
+    def _set_limit(self, upstream_id: str, limit: Limit) -> bool:
         old = self._limits.get(upstream_id)
         self._limits[upstream_id] = limit
         if old is not None and old.per_s == limit.per_s:
             return False
         if limit.per_s is None:
-            self._turns.pop(upstream_id, None)
-        elif upstream_id in self._turns:
-            self._turns[upstream_id].stale_s = -math.inf
-        self._list_limited()
+            self._pacers.pop(upstream_id, None)
+        elif upstream_id in self._pacers:
+            self._pacers[upstream_id].refresh_s = -math.inf
+        self._update_limited()
         return True
 
-    def _list_limited(self) -> None:
+    def _update_limited(self) -> None:
         self.limited = frozenset(
             i for i, known in self._limits.items() if known.per_s is not None
         )
 
-    def _get_turns(self, upstream_id: str, now_s: float) -> _Turns:
+    def _get_pacer(self, upstream_id: str, now_s: float) -> _Pacer:
         """Returns the turns at an upstream with a limit, as of now."""
-        turns = self._turns.get(upstream_id)
-        if turns is None or now_s >= turns.stale_s:
-            turns = self._plan(upstream_id, turns, now_s)
-            self._turns[upstream_id] = turns
-        late_s = now_s - turns.kept_s - turns.next_s
+        turns = self._pacers.get(upstream_id)
+        if turns is None or now_s >= turns.refresh_s:
+            turns = self._make_pacer(upstream_id, turns, now_s)
+            self._pacers[upstream_id] = turns
+        late_s = now_s - turns.slot_ttl_s - turns.next_s
         if late_s > 0:
             turns.next_s += math.ceil(late_s / turns.period_s) * turns.period_s
         return turns
 
-    def _plan(
-        self, upstream_id: str, old: _Turns | None, now_s: float
-    ) -> _Turns:
+    def _make_pacer(
+        self, upstream_id: str, old: _Pacer | None, now_s: float
+    ) -> _Pacer:
         """Returns the turns by this host's present part."""
-        per_s = max(LEAST_PER_S, self._limits[upstream_id].per_s or 0.0)
+        per_s = max(MIN_RATE_PER_S, self._limits[upstream_id].per_s or 0.0)
         part = self.demand.get_share(upstream_id, now_s)
-        period_s = 1.0 / (USED * per_s * part)
+        period_s = 1.0 / (USED_FRACTION * per_s * part)
         if old is None:
             next_s = now_s + self._rng.uniform(0.0, period_s)
         else:
@@ -273,4 +280,9 @@
             ahead_s = old.next_s - now_s
             scale = period_s / old.period_s if ahead_s > 0 else 1.0
             next_s = now_s + ahead_s * scale
-        return _Turns(next_s, period_s, READY_S + READY / per_s, now_s + PART_S)
+        return _Pacer(
+            next_s,
+            period_s,
+            BURST_S + BURST_REQUESTS / per_s,
+            now_s + SHARE_UPDATE_S,
+        )
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -80,7 +80,7 @@
         spent=state.repeats.list_spent(now_s),
         ended=state.quarantine.list_updates(datagrams.MAX_ENDED, now_s),
         is_new=state.repeats.is_new(now_s),
-        limits=state.throttle.list_told(now_s),
+        limits=state.throttle.list_updates(now_s),
     )
 
 
@@ -93,7 +93,7 @@
         usage=state.fleet.memory.sum_near(now_s),
         suspects=state.fleet.list_suspects(now_s, True),
         spent=state.repeats.sum_local(now_s),
-        limits=state.throttle.list_told(now_s, is_speaker=True),
+        limits=state.throttle.list_updates(now_s, is_speaker=True),
     )
 
 
--- a/egretspur/membership/actor.py
+++ b/egretspur/membership/actor.py
@@ -117,7 +117,7 @@
 class AddLimits:
     """Upstreams named limits, or name none any more, by their start."""
 
-    limits: dict[str, throttle.Told]
+    limits: dict[str, throttle.PublishedLimit]
 
 
 @attrs.frozen
@@ -152,7 +152,7 @@
     demand: dict[str, dict[str, int]]
     # Upstreams that ended under requests, as in `AddEnded`.
     ended: dict[str, dict[str, float]]
-    limits: dict[str, throttle.Told]
+    limits: dict[str, throttle.PublishedLimit]
     # Place of this host among those that follow the log, from 0.
     rank: int
     # Control addresses in other data centres, by data centre.
@@ -455,7 +455,7 @@
             time.monotonic(),
         )
 
-    def _get_limits(self) -> dict[str, throttle.Told]:
+    def _get_limits(self) -> dict[str, throttle.PublishedLimit]:
         """Returns what each start of an upstream named last, of any host."""
         now_s = time.monotonic()
         known = [
@@ -464,7 +464,7 @@
             if k.entry.kind is entries.Kind.LIMIT
         ]
         return {
-            k.entry.name: throttle.Told(
+            k.entry.name: throttle.PublishedLimit(
                 float(k.entry.value) if k.entry.value else None,
                 now_s - k.since_s,
             )
--- a/egretspur/membership/datagrams.py
+++ b/egretspur/membership/datagrams.py
@@ -70,7 +70,7 @@
     # not know what was spent before.
     is_new: bool = False
     # Limits that upstreams named, or name no more, whoever had the answer.
-    limits: Mapping[str, throttle.Told] = attrs.Factory(dict)
+    limits: Mapping[str, throttle.PublishedLimit] = attrs.Factory(dict)
 
 
 @attrs.frozen
@@ -240,9 +240,9 @@
     )
 
 
-def _decode_limit(value: Any) -> throttle.Told:
+def _decode_limit(value: Any) -> throttle.PublishedLimit:
     per_s, age_s, wanted = checks.check_row(value, "limits", 3)
-    return throttle.Told(
+    return throttle.PublishedLimit(
         None if per_s is None else checks.check_number(per_s, "limits"),
         checks.check_number(age_s, "limits"),
         checks.check_count(wanted, "limits"),
--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -121,7 +121,7 @@
     leaving: tuple[tables.LeavingMark, ...]
     demand: dict[str, int]
     ended: dict[str, dict[str, float]]
-    limits: dict[str, throttle.Told]
+    limits: dict[str, throttle.PublishedLimit]
 
 
 @attrs.frozen
--- a/egretspur/routing/availability.py
+++ b/egretspur/routing/availability.py
@@ -52,9 +52,9 @@
         is_new = answer.is_leaving and self._network.note_leaving(name, now_s)
         start = self._network.name_start(name)
         per_s = answer.per_s
-        if not isinstance(per_s, signals.Unreadable) and self.throttle.note(
-            start, per_s, now_s
-        ):
+        if not isinstance(
+            per_s, signals.Unreadable
+        ) and self.throttle.record_limit(start, per_s, now_s):
             is_new = True
             decisions.record(decisions.UpstreamLimited(start, per_s, True))
         return is_new
@@ -64,19 +64,19 @@
         self.throttle.demand.hosts = max(1, message.listed, message.sharing)
         listed = {self._network.name_start(n) for n in self._network.upstreams}
         for start, told in message.limits.items():
-            if start in listed and self.throttle.hear(
+            if start in listed and self.throttle.apply_peer_update(
                 "", "", start, told, now_s
             ):
                 decisions.record(
                     decisions.UpstreamLimited(start, told.per_s, False)
                 )
-        self.throttle.forget(listed)
+        self.throttle.remove_unlisted(listed)
 
     def is_open(self, name: str, now_s: float) -> bool:
         """Tells whether an upstream takes a request of this router now."""
         return not self._network.get_backoff_s(
             name, now_s
-        ) and self.throttle.is_open(self._network.name_start(name), now_s)
+        ) and self.throttle.can_send(self._network.name_start(name), now_s)
 
     def list_closed(self, now_s: float) -> frozenset[str]:
         """Returns the upstreams that take none, where any has a limit."""
@@ -88,7 +88,7 @@
 
     def take(self, name: str, now_s: float) -> None:
         """Counts a request that is sent to an upstream."""
-        self.throttle.take(self._network.name_start(name), now_s)
+        self.throttle.record_send(self._network.name_start(name), now_s)
 
     def take_turn(self, name: str, now_s: float) -> bool:
         """Takes a turn at a plain service's replica, if it takes a call now."""
@@ -133,7 +133,7 @@
         return self._returns.promise(key, opening, waiting, now_s)
 
     def _note_unreadable(self, name: str, value: signals.Unreadable) -> None:
-        if self.throttle.note_unreadable(self._network.name_start(name)):
+        if self.throttle.record_unreadable(self._network.name_start(name)):
             decisions.record(
                 decisions.EntryLeftOut(
                     "answers", name, value.field, value.problem
--- a/egretspur/routing/backpressure.py
+++ b/egretspur/routing/backpressure.py
@@ -51,7 +51,7 @@
         self,
         host: str,
         data_centre: str,
-        limits: Mapping[str, throttle.Told],
+        limits: Mapping[str, throttle.PublishedLimit],
         now_s: float,
     ) -> None:
         """Takes the limits that another host knows.
@@ -63,8 +63,11 @@
             now_s: Monotonic time.
         """
         for upstream_id, told in limits.items():
-            if upstream_id in self._roster.entries and self._throttle.hear(
-                host, data_centre, upstream_id, told, now_s
+            if (
+                upstream_id in self._roster.entries
+                and self._throttle.apply_peer_update(
+                    host, data_centre, upstream_id, told, now_s
+                )
             ):
                 self._note_limit(upstream_id, told.per_s, False)
 
@@ -72,7 +75,7 @@
         self, upstream_id: str, per_s: float | None, now_s: float
     ) -> None:
         """Takes the limit that an upstream's answer named, or that none was."""
-        if self._throttle.note(upstream_id, per_s, now_s):
+        if self._throttle.record_limit(upstream_id, per_s, now_s):
             self._note_limit(upstream_id, per_s, True)
 
     def note_backoff(
@@ -108,9 +111,9 @@
         nothing for now.
         """
         is_backing_off = self._health.is_backing_off(upstream_id, now_s)
-        if is_backing_off or not self._throttle.is_open(upstream_id, now_s):
+        if is_backing_off or not self._throttle.can_send(upstream_id, now_s):
             return False
-        self._throttle.take(upstream_id, now_s)
+        self._throttle.record_send(upstream_id, now_s)
         return True
 
     def hold_back(self, card: paths.Card, now_s: float) -> paths.Card | None:
@@ -119,7 +122,7 @@
         Requests are sent to a path's first engine. One at its limit may still
         run its part of what comes to it from others.
         """
-        if card.first or self._throttle.is_open(card.id, now_s):
+        if card.first or self._throttle.can_send(card.id, now_s):
             return card
         return attrs.evolve(card, first=1) if card.last > 1 else None
 
@@ -137,7 +140,7 @@
             for e in takers
             if e.accelerator and e.data_centre == self._data_centre
         ]
-        if any(self._throttle.is_open(e.id, now_s) for e in near):
+        if any(self._throttle.can_send(e.id, now_s) for e in near):
             takers = near
         ids = {e.id for e in takers}
         self._throttle.demand.record_request(
@@ -176,7 +179,7 @@
 
     def forget(self, listed: Container[str]) -> None:
         """Drops what is known of upstreams that are no longer listed."""
-        self._throttle.forget(listed)
+        self._throttle.remove_unlisted(listed)
         self._leaving = {i for i in self._leaving if i in listed}
 
     def _list_takers(self, service: str) -> list[upstreams.Upstream]:
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -192,7 +192,7 @@
     def _note_unreadable(
         self, upstream_id: str, value: signals.Unreadable
     ) -> None:
-        if self.throttle.note_unreadable(upstream_id):
+        if self.throttle.record_unreadable(upstream_id):
             self._notes.append(
                 decisions.EntryLeftOut(
                     "answers", upstream_id, value.field, value.problem
@@ -457,7 +457,7 @@
             self.queue.waiting[item.id] = item
             return []
         if opening is not None:
-            turn_s = opening.get_turn_s(self._count_waiting(job))
+            turn_s = opening.estimate_wait_s(self._count_waiting(job))
             if now_s + turn_s > item.deadline_s:
                 return [self._refuse_limited(ticket, opening, now_s)]
         self.counts.queued += 1
@@ -615,7 +615,7 @@
             self.counts.repeats += 1
         self._notes.append(self._describe_start(ticket, entry, now_s))
         self._take_room(ticket, 1)
-        self.throttle.take(entry.id, now_s)
+        self.throttle.record_send(entry.id, now_s)
         self.counts.started += 1
         return jobs.Start(ticket.job.id, entry, ticket.parts)
 
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -373,7 +373,7 @@
         waiting = sum(
             w.graph == item.graph for w in self.queue.waiting.values()
         )
-        if now_s + opening.get_turn_s(waiting) <= item.deadline_s:
+        if now_s + opening.estimate_wait_s(waiting) <= item.deadline_s:
             return []
         return self._refuse_ticket(
             item.id,
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -71,7 +71,7 @@
     # It does not know what was spent before it started.
     is_new: bool = False
     # Limits that upstreams named, or name no more, as far as it knows.
-    limits: Mapping[str, throttle.Told] = attrs.Factory(dict)
+    limits: Mapping[str, throttle.PublishedLimit] = attrs.Factory(dict)
 
 
 @attrs.frozen
@@ -593,7 +593,7 @@
         usable = [
             e
             for e in self.list_usable(service, now_s)
-            if e.id not in refused and self.throttle.is_open(e.id, now_s)
+            if e.id not in refused and self.throttle.can_send(e.id, now_s)
         ]
         fresh = [e for e in usable if e.id not in avoid] or usable
         cut_off = self.list_cut_off(now_s)
--- a/egretspur/routing/returns.py
+++ b/egretspur/routing/returns.py
@@ -40,7 +40,7 @@
             waiting: Requests that wait for that here.
             now_s: Monotonic time.
         """
-        first_s = now_s + opening.get_turn_s(waiting)
+        first_s = now_s + opening.estimate_wait_s(waiting)
         at_s = max(first_s, self._promised_s.get(service, first_s))
         longest_s = now_s + LONGEST_S
         self._promised_s[service] = min(at_s + 1.0 / opening.per_s, longest_s)
--- a/egretspur/routing/tables.py
+++ b/egretspur/routing/tables.py
@@ -75,7 +75,7 @@
     # answered.
     ended: dict[str, dict[str, float]] = attrs.Factory(dict)
     # Limits that upstreams named, or name no more, by their start.
-    limits: dict[str, throttle.Told] = attrs.Factory(dict)
+    limits: dict[str, throttle.PublishedLimit] = attrs.Factory(dict)
     # Entry hosts of all data centres, which may share an upstream.
     sharing: int = 1
 
@@ -101,7 +101,7 @@
     leaving: tuple[LeavingMark, ...]
     demand: dict[str, int]
     ended: dict[str, dict[str, float]] = attrs.Factory(dict)
-    limits: dict[str, throttle.Told] = attrs.Factory(dict)
+    limits: dict[str, throttle.PublishedLimit] = attrs.Factory(dict)
 
 
 def make_table(
--- a/tests/routing/routers.py
+++ b/tests/routing/routers.py
@@ -63,9 +63,9 @@
 
     def update(self) -> None:
         """Gives each router what the control daemons know."""
-        newest: dict[str, throttle.Told] = {}
+        newest: dict[str, throttle.PublishedLimit] = {}
         for router in self.routers:
-            for start, told in router.availability.throttle.list_told(
+            for start, told in router.availability.throttle.list_updates(
                 self.now_s
             ).items():
                 known = newest.get(start)
@@ -76,7 +76,7 @@
             self._take(router, router.update(update, self.now_s))
 
     def _make_update(
-        self, limits: dict[str, throttle.Told]
+        self, limits: dict[str, throttle.PublishedLimit]
     ) -> tables.RoutingUpdate:
         table = tables.RoutingTable(
             1,
--- a/tests/steps/limits_steps.py
+++ b/tests/steps/limits_steps.py
@@ -225,7 +225,7 @@
 def is_held_back(host: limits.Host, now_s: float) -> bool:
     """Tells whether a host runs a stream and may send no other one now."""
     return any(t.upstream_id for t in host.state.tickets.values()) and not any(
-        host.state.throttle.is_open(i, now_s) for i in FIRST_ENGINES
+        host.state.throttle.can_send(i, now_s) for i in FIRST_ENGINES
     )
 
 
