--- a/egretspur/admission/quarantine.py
+++ b/egretspur/admission/quarantine.py
@@ -1,21 +1,21 @@
-"""Requests that end the upstreams which begin to run them: pure.
+"""Quarantine of requests that crash the upstreams which run them: pure.
 
-Others call them poison requests, or queries of death.
+Such a request is also known as a poison request or query of death.
 
-Symptom without it: engines of all data centres end one after the other, a few
-times a second, and with each the dozens of answers it was working on. One
-request does it. A host repeats it elsewhere, its caller sends it again under
-another id and to another host, and attempts are counted for an id at a host,
-so that each begins anew.
+Without quarantine, one such request crashes engines in all data centres, a few
+a second, and each takes dozens of running answers with it. A host reroutes the
+request, and its caller retries it under another id and at another host; since
+attempts are counted by id and host, each retry starts with a full allowance.
 
-So a request is known by its fingerprint, and an upstream that ended under it
-counts against the fingerprint, once, whichever host saw it. Hosts tell each
-other. Three ends put a request into quarantine: no host sends it any more,
-whether it is new, waits, is repeated, or resumed, until an operator lets it go.
+A request is therefore identified by its fingerprint. An upstream that crashed
+under it counts against the fingerprint, once, whichever host saw the crash, and
+hosts publish their crash records to each other. Three crashes quarantine a
+request: no host sends it any more, whether it is new, waiting, retried or
+resumed, until an operator releases it.
 
-Those that run beside such a request are cut as well, and come again as well.
-What tells them apart: they are answered in the end, which clears them, or were
-answered shortly before, and most had brought a part of their answer.
+Requests that run beside it are cut and retried as well. They differ in that
+they are answered in the end, which clears them, or were answered shortly
+before, and that most had produced a part of their answer.
 """
 
 from __future__ import annotations
@@ -29,125 +29,125 @@
 
 from egretspur.admission import fingerprint as fingerprints
 
-# Upstreams that a request may end before it is sent no more. One may end by
-# chance, two in the fall of a data centre that the request went through.
+# Crashes that quarantine a request. One may be a coincidence, and two may come
+# from the loss of a data centre that the request passed through.
 CRASH_THRESHOLD: Final = 3.0
 
-# What an end counts where the attempt had brought a part of the answer. A
-# request that is to blame nearly always ends an upstream before that; were
-# such ends not counted at all, one that doesn't would end upstreams for ever.
+# Weight of a crash after the attempt had produced a part of the answer. A
+# poison request nearly always crashes its upstream before that; at weight 0 one
+# that crashes it later would never be quarantined.
 LATE_CRASH_WEIGHT: Final = 0.5
 
-# An attempt's upstream is asked at once whether it lives, and again 0.15 s
-# later. Where nothing is known of it after so long, it counts as alive.
+# An upstream is probed as soon as an attempt there is cut, and again 0.15 s
+# later. If its state is still unknown after this time, it counts as alive.
 CRASH_CHECK_S: Final = 2.0
 
-# News of a request are told to other hosts for so long, in some forty
-# datagrams: also to those that were cut off for some seconds.
+# A change to a request's record is published for this long, in some forty
+# datagrams, so that hosts which were cut off for some seconds receive it too.
 PUBLISH_S: Final = 10.0
 
-# A request that was answered so long ago ends nothing. Longer than others
-# tell of its ends, who may not have heard of the answer yet.
+# Crashes are not counted against a request for this long after it was answered.
+# Longer than `PUBLISH_S`, since peers that have not received the answer yet
+# still publish its crashes.
 ANSWER_TTL_S: Final = 20.0
 
-# Requests that are remembered, those that ended something last: more than are
-# under way at once at one host of a large site, all of which may be cut in one
-# moment. And those that were answered: the same look-up that many callers of a
-# workspace send stays among the last thousand.
+# Crash records kept, the most recently changed ones: more than the requests in
+# flight at one host of a large site, all of which may be cut at the same time.
+# And answered requests kept: a look-up that many callers of a workspace send
+# stays among the last thousand.
 MAX_RECORDS: Final = 4096
 MAX_ANSWERS: Final = 1024
 
-# Retry-After of a request in quarantine, in seconds: to come back sooner is of
-# no use, it is refused until someone has looked at it.
+# Retry-After of a quarantined request. An earlier retry is of no use: the
+# request is refused until an operator has looked at it.
 RETRY_AFTER_S: Final = 60.0
 
-# Characters by which hosts name an upstream's start to each other. Were two
-# of the three alike, a request would be sent once more.
+# Characters that identify one start of an upstream in peer updates. If two of
+# the three collide, the request is sent once more.
 _START_ID_CHARS: Final = 8
 
 
 class UpstreamState(enum.Enum):
-    """What is known of an upstream after an attempt there was cut."""
+    """State of an upstream after an attempt there was cut."""
 
-    # It has ended, or can't be reached.
+    # It crashed or can't be reached.
     CRASHED = "ended"
-    # It answers, and is the same start as before.
+    # It answers and has not restarted.
     ALIVE = "alive"
-    # It is being asked.
+    # The probes have not completed.
     UNKNOWN = "unknown"
 
 
 @attrs.frozen
 class CutAttempt:
-    """An attempt that was cut, with upstreams of which one may have ended."""
+    """An attempt that was cut, and the upstreams that may have crashed."""
 
     fingerprint: str
-    # The one that it was sent to first.
+    # The upstream that received the request comes first.
     upstreams: tuple[str, ...]
-    # Whether it had brought a part of the answer.
+    # Whether the attempt had produced a part of the answer.
     has_output: bool
     at_s: float
 
     @property
     def weight(self) -> float:
-        """What the end of its upstream counts."""
+        """Weight of this crash, if its upstream crashed."""
         return LATE_CRASH_WEIGHT if self.has_output else 1.0
 
 
-# Ends of one request: what each counts, by name of the upstream's start.
+# Crashes under one request: weight by id of the upstream's start.
 Crashes = Mapping[str, float]
 
 
 def has_new_crashes(known: Crashes, other: Crashes) -> bool:
-    """Tells whether ends are known that another record lacks."""
+    """Tells whether `known` has crashes that another record lacks."""
     return not set(known) <= set(other)
 
 
 @attrs.frozen
 class Change:
-    """A request was put into quarantine, or let go."""
+    """A request was quarantined or released."""
 
     fingerprint: str
-    # Empty where it was let go.
+    # Empty if it was released.
     crashes: Crashes
-    # This host saw one of the ends, or the answer, itself.
+    # This host itself saw one of the crashes, or the answer.
     is_own: bool
 
 
 @attrs.define
 class _Record:
-    """What is known of one request."""
+    """Crash record of one request."""
 
     crashes: dict[str, float] = attrs.Factory(dict)
-    # When it last changed.
+    # Time of the last change.
     at_s: float = 0.0
     is_quarantined: bool = False
-    # It was let go.
     is_released: bool = False
-    # This host saw one of the ends itself.
+    # This host itself saw one of the crashes.
     is_own: bool = False
 
     def sum_weights(self) -> float:
-        """Returns how many upstreams ended under it."""
+        """Returns the total weight of its crashes."""
         return sum(self.crashes.values())
 
 
 class Quarantine:
-    """What one host knows of requests under which upstreams ended."""
+    """One host's records of requests under which upstreams crashed."""
 
     def __init__(self, crash_check_s: float = CRASH_CHECK_S) -> None:
-        """Makes a state that knows of none.
+        """Makes an empty quarantine.
 
         Args:
-            crash_check_s: How long an upstream may stay unknown after a cut; then
-                it counts as alive.
+            crash_check_s: Seconds for which the state of an upstream may stay
+                unknown after a cut; then it counts as alive.
         """
         self._crash_check_s = crash_check_s
-        # The one that changed last is at the end.
+        # By fingerprint, the most recently changed last.
         self._records: collections.OrderedDict[str, _Record] = (
             collections.OrderedDict()
         )
-        # When requests were answered, the last one at the end.
+        # Time of the answer by fingerprint, the most recent last.
         self._answered_at_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
@@ -155,45 +155,47 @@
         self._changes: list[Change] = []
 
     def is_blocked(self, fingerprint: str) -> bool:
-        """Tells whether a request may not be sent.
+        """Tells whether a request must not be sent.
 
-        Cuts count from the first moment, as if the upstream had ended: the
-        next send would come before it is known.
+        A cut counts as a crash until the upstream's state is known, since a
+        retry would be sent before that.
         """
         record = self._records.get(fingerprint)
-        ends = dict(record.crashes) if record else {}
+        crashes = dict(record.crashes) if record else {}
         for cut in self._cuts:
             if cut.fingerprint == fingerprint:
-                ends.setdefault(make_start_id(cut.upstreams[0]), cut.weight)
-        return sum(ends.values()) >= CRASH_THRESHOLD
+                crashes.setdefault(make_start_id(cut.upstreams[0]), cut.weight)
+        return sum(crashes.values()) >= CRASH_THRESHOLD
 
     def get_retry_after_s(self, fingerprint: str) -> float:
-        """Returns when one that is held may come back, in seconds."""
+        """Returns the Retry-After of a blocked request, in seconds."""
         record = self._records.get(fingerprint)
-        is_sure = record is not None and record.is_quarantined
-        return RETRY_AFTER_S if is_sure else self._crash_check_s
+        is_confirmed = record is not None and record.is_quarantined
+        return RETRY_AFTER_S if is_confirmed else self._crash_check_s
 
     def record_cut(self, cut: CutAttempt, now_s: float) -> None:
-        """Takes an attempt that was cut; `settle` tells what follows."""
+        """Adds a cut attempt, for `resolve_cuts` to evaluate."""
         if cut.fingerprint and not self._was_answered(cut.fingerprint, now_s):
             self._cuts.append(cut)
 
     def resolve_cuts(
         self, look: Callable[[str], UpstreamState], now_s: float
     ) -> None:
-        """Counts the cuts of which it is known by now what became of them.
+        """Evaluates the cuts whose upstreams' states are known by now.
 
         Args:
-            look: Returns what is known of an upstream.
+            look: Returns the state of an upstream.
             now_s: Monotonic time.
         """
         cuts, self._cuts = self._cuts, []
         for cut in cuts:
             states = {u: look(u) for u in cut.upstreams}
-            ended = [u for u, s in states.items() if s is UpstreamState.CRASHED]
-            if ended:
-                ends = {make_start_id(ended[0]): cut.weight}
-                self._add_crashes(cut.fingerprint, ends, True, now_s)
+            crashed = [
+                u for u, s in states.items() if s is UpstreamState.CRASHED
+            ]
+            if crashed:
+                crashes = {make_start_id(crashed[0]): cut.weight}
+                self._add_crashes(cut.fingerprint, crashes, True, now_s)
             elif (
                 UpstreamState.UNKNOWN in states.values()
                 and now_s - cut.at_s < self._crash_check_s
@@ -201,7 +203,7 @@
                 self._cuts.append(cut)
 
     def record_answer(self, fingerprint: str, now_s: float) -> None:
-        """Takes that a request was answered to its end, so it ends nothing."""
+        """Clears a request that was answered completely."""
         if not fingerprint:
             return
         self._answered_at_s[fingerprint] = now_s
@@ -214,28 +216,28 @@
     def apply_peer_update(
         self, told: Mapping[str, Crashes], now_s: float
     ) -> None:
-        """Takes what another host or the store tells.
+        """Merges records from another host or the store.
 
         Args:
-            told: Ends of requests; none where one was answered, or let go.
+            told: Crashes by request; none if it was answered or released.
             now_s: Monotonic time.
         """
-        for fingerprint, ends in told.items():
-            if not ends:
+        for fingerprint, crashes in told.items():
+            if not crashes:
                 self._clear_crashes(fingerprint, False, now_s)
             elif self._was_answered(fingerprint, now_s):
                 self._republish_answer(fingerprint, now_s)
             else:
-                self._add_crashes(fingerprint, ends, False, now_s)
+                self._add_crashes(fingerprint, crashes, False, now_s)
 
     def list_updates(
         self, max_count: int, now_s: float
     ) -> dict[str, dict[str, float]]:
-        """Returns what to tell other hosts: what is held, and what is new.
+        """Returns the quarantined and recently changed records to publish.
 
         Args:
-            max_count: Requests to tell of at most. Held ones go first and those
-                that were let go, then those that ended most.
+            max_count: Maximum number of records. Quarantined and released
+                requests go first, then those with most crashes.
             now_s: Monotonic time.
         """
         found = [
@@ -253,7 +255,7 @@
         return {f: dict(r.crashes) for f, r in found[:max_count]}
 
     def take_changes(self) -> list[Change]:
-        """Returns what was held or let go since the last call."""
+        """Returns the requests quarantined or released since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
@@ -266,11 +268,11 @@
         }
 
     def has_pending_cuts(self) -> bool:
-        """Tells whether `settle` has something to do."""
+        """Tells whether `resolve_cuts` has cuts to evaluate."""
         return bool(self._cuts)
 
     def _was_answered(self, fingerprint: str, now_s: float) -> bool:
-        """Tells whether a request was answered of late, so it ends nothing."""
+        """Tells whether a request was answered recently."""
         at_s = self._answered_at_s.get(fingerprint)
         if at_s is not None and now_s - at_s < ANSWER_TTL_S:
             return True
@@ -284,7 +286,7 @@
     def _add_crashes(
         self, fingerprint: str, ends: Crashes, is_own: bool, now_s: float
     ) -> None:
-        """Counts ends of a request."""
+        """Adds crashes to a request and quarantines it at the threshold."""
         record = self._get_record(fingerprint)
         record.is_own |= is_own
         for name, weight in ends.items():
@@ -302,7 +304,7 @@
     def _clear_crashes(
         self, fingerprint: str, is_own: bool, now_s: float
     ) -> None:
-        """Takes that a request ends nothing."""
+        """Removes a request's crashes and releases it from quarantine."""
         record = self._records.get(fingerprint)
         if record is None or not record.crashes:
             return
@@ -314,12 +316,12 @@
         record.at_s = now_s
 
     def _republish_answer(self, fingerprint: str, now_s: float) -> None:
-        """Has a host told of an answer that it doesn't know of."""
+        """Publishes an answer again, for a host that has not received it."""
         record = self._get_record(fingerprint)
         record.at_s = now_s
 
     def _get_record(self, fingerprint: str) -> _Record:
-        """Returns a request's record, as the one that changed last."""
+        """Returns a request's record after moving it to the end."""
         record = self._records.get(fingerprint)
         if record is None:
             record = self._records[fingerprint] = _Record()
@@ -329,7 +331,7 @@
         return record
 
     def _drop_oldest(self) -> None:
-        """Drops the record that changed first; a held one if all are."""
+        """Drops the oldest record; a quarantined one only if all are."""
         oldest = next(
             (f for f, r in self._records.items() if not r.is_quarantined), ""
         )
@@ -337,5 +339,5 @@
 
 
 def make_start_id(upstream: str) -> str:
-    """Returns the name by which hosts tell each other of a start."""
+    """Returns the id of an upstream's start in peer updates."""
     return fingerprints.compute(upstream)[:_START_ID_CHARS]
--- a/tests/steps/crashing_router_steps.py
+++ b/tests/steps/crashing_router_steps.py
@@ -165,8 +165,8 @@
 
 @then("it may not be sent, and other calls may")
 def step_call_held(context: Any) -> None:
-    assert context.router.quarantine.is_held("call")
-    assert not context.router.quarantine.is_held("other")
+    assert context.router.quarantine.is_blocked("call")
+    assert not context.router.quarantine.is_blocked("other")
 
 
 # Control daemons.
