--- a/egretspur/admission/__init__.py
+++ b/egretspur/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Limits, fair queueing and the retry budget."""
+"""Rate limits, fair queueing, quarantine and the retry budget."""
--- a/egretspur/admission/budget.py
+++ b/egretspur/admission/budget.py
@@ -1,9 +1,9 @@
 """Retry budget: pure.
 
-Each first attempt earns a part of a retry. When half the upstreams fail, the
-retries are bounded by the requests and don't multiply the load that is left.
-Resuming an answer that has already begun is not drawn from the budget: the
-caller has part of it and must get the rest.
+Each first attempt earns a fraction of a retry. When half the upstreams fail,
+retries therefore stay proportional to requests instead of multiplying the load
+on the remaining upstreams. Resuming an answer that has already begun is not
+charged to the budget: the caller has part of it and must get the rest.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @attrs.define
 class Budget:
-    """Retries saved up."""
+    """Token bucket of retries."""
 
     ratio: float
     burst: float
@@ -29,7 +29,7 @@
 
 
 def spend(budget: Budget) -> bool:
-    """Takes one retry; tells whether there was one."""
+    """Takes one retry; returns whether one was available."""
     if budget.saved < 1.0:
         return False
     budget.saved -= 1.0
--- a/egretspur/admission/fingerprint.py
+++ b/egretspur/admission/fingerprint.py
@@ -1,7 +1,7 @@
-"""By what a request is known again: pure.
+"""Fingerprint that identifies a request across retries: pure.
 
-A request that comes again has another id, and often another host. What stays
-is who sends it, where to and with which body.
+A retried request has another id and often reaches another host. Its sender,
+destination and body stay the same.
 """
 
 from __future__ import annotations
@@ -9,19 +9,20 @@
 import hashlib
 from typing import Final
 
-# Bytes of a fingerprint. Hosts tell each other of some dozens; among a million
-# requests two are alike by chance once in thirty million times.
+# Bytes of a fingerprint. Hosts exchange some dozens of them; among a million
+# requests the probability of a collision is one in thirty million.
 _BYTES: Final = 8
 
 _LENGTH_BYTES: Final = 8
 
 
 def compute(*parts: str | bytes) -> str:
-    """Returns the same text for the same parts, on every host."""
+    """Returns a hex digest of the parts, equal on every host."""
     digest = hashlib.blake2b(digest_size=_BYTES)
     for part in parts:
         raw = part.encode() if isinstance(part, str) else part
-        # With their lengths, so that no byte may belong to either neighbour.
+        # Prefixed with the length, so that moving a byte from one part to the
+        # next changes the digest.
         digest.update(len(raw).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(raw)
     return digest.hexdigest()
