--- a/egretspur/admission/queue.py
+++ b/egretspur/admission/queue.py
@@ -2,7 +2,8 @@
 
 Higher priority goes first; within a priority the workspace that has been
 served least goes first, so that a large workspace can't starve a small one.
-One start in `EVERYONE` ignores priority, so that low ones never stop entirely.
+One start in `IGNORE_PRIORITY_EVERY` ignores priority, so that low priorities
+are never starved entirely.
 """
 
 from __future__ import annotations
@@ -17,10 +18,11 @@
 # One start in this many goes to the oldest request whatever its priority.
 IGNORE_PRIORITY_EVERY: Final = 10
 
-# Weight of a new sample in the estimate of the pause between two ends.
+# Weight of a new sample in the moving average of the interval between two
+# requests that finish.
 INTERVAL_WEIGHT: Final = 0.05
 
-# Shortest pause counted; several requests can end in one moment.
+# Lower bound of a sample, since several requests can finish at the same time.
 MIN_INTERVAL_S: Final = 1e-4
 
 
@@ -30,36 +32,36 @@
 
     id: str
     workspace: str
-    # Graph it needs; only requests of graphs with a free path are started.
+    # Graph it needs; a request is started only if its graph has a free path.
     graph: str
     priority: int
     arrived_s: float
     deadline_s: float
-    # Its caller has a part of the answer: it goes first, gives way to nobody
-    # and is given up only at its deadline.
+    # Its caller has a part of the answer: it goes first, is never evicted and
+    # expires only at its deadline.
     is_begun: bool = False
 
 
 @attrs.define
 class Queue:
-    """All waiting requests of one router."""
+    """Waiting requests of one router."""
 
     max_length: int
     waiting: dict[str, Waiting] = attrs.Factory(dict)
-    # Requests started per workspace, on a common scale: a workspace that
-    # returns after a pause begins at the present, not with saved-up turns.
+    # Requests started per workspace, in virtual time: a workspace that returns
+    # after a pause starts at `virtual_time` and has no credit for the time.
     served: dict[str, float] = attrs.Factory(dict)
     virtual_time: float = 0.0
     starts: int = 0
-    # Seconds between two requests that finish, smoothed, and when the last
-    # one did; by graph.
+    # Mean seconds between two requests that finish, and when the last one did;
+    # by graph.
     intervals_s: dict[str, float] = attrs.Factory(dict)
     last_finish_s: dict[str, float] = attrs.Factory(dict)
 
 
 @attrs.frozen
 class Queued:
-    """The request waits; `evicted` gave up its place to it, if any."""
+    """The request was queued; `evicted` was removed to make room, if any."""
 
     evicted: Waiting | None
 
@@ -67,7 +69,7 @@
 def enqueue(
     queue: Queue, item: Waiting, now_s: float
 ) -> Queued | errors.Refusal:
-    """Puts a request into the queue or refuses it at once."""
+    """Adds a request to the queue, or refuses it at once."""
     wait_s = estimate_wait(queue, item)
     if now_s + wait_s > item.deadline_s:
         return errors.Refusal(
@@ -90,14 +92,14 @@
 
 
 def estimate_wait(queue: Queue, item: Waiting) -> float:
-    """Returns the seconds until a request's turn, by the recent rate.
+    """Returns the seconds until a request starts, at the recent rate.
 
-    Ahead of it are all of higher priority, the earlier ones of its own
-    workspace, and of each other workspace at most as many as it will have had
-    turns itself.
+    Ahead of it are all requests of higher priority, the earlier ones of its own
+    workspace, and of each other workspace at most as many as its own workspace
+    starts until then.
     """
-    pause = queue.intervals_s.get(item.graph, 0.0)
-    if not pause:
+    interval_s = queue.intervals_s.get(item.graph, 0.0)
+    if not interval_s:
         return 0.0
     higher = 0
     mine = 0
@@ -114,39 +116,43 @@
         elif other.arrived_s <= item.arrived_s:
             mine += 1
     ahead = higher + mine + sum(min(n, mine + 1) for n in others.values())
-    return ahead * pause
+    return ahead * interval_s
 
 
 def list_candidates(
     queue: Queue, is_limited: Callable[[Waiting], bool]
 ) -> list[Waiting]:
-    """Returns one candidate for each graph: the request that is next.
+    """Returns the next request of each graph, in starting order.
 
     Args:
         queue: The queue.
         is_limited: Tells whether a request's workspace is at its limit.
     """
-    everyone = queue.starts % IGNORE_PRIORITY_EVERY == IGNORE_PRIORITY_EVERY - 1
+    ignores_priority = (
+        queue.starts % IGNORE_PRIORITY_EVERY == IGNORE_PRIORITY_EVERY - 1
+    )
     best: dict[str, Waiting] = {}
     for item in queue.waiting.values():
         if is_limited(item):
             continue
         other = best.get(item.graph)
-        if other is None or _rank(queue, item, everyone) < _rank(
-            queue, other, everyone
+        if other is None or _rank(queue, item, ignores_priority) < _rank(
+            queue, other, ignores_priority
         ):
             best[item.graph] = item
-    return sorted(best.values(), key=lambda i: _rank(queue, i, everyone))
+    return sorted(
+        best.values(), key=lambda i: _rank(queue, i, ignores_priority)
+    )
 
 
 def start(queue: Queue, item: Waiting) -> None:
-    """Takes a request off the queue because it is started."""
+    """Removes a request from the queue because it is started."""
     queue.waiting.pop(item.id, None)
     record_start(queue, item.workspace)
 
 
 def record_start(queue: Queue, workspace: str) -> None:
-    """Counts a started request, queued before or not."""
+    """Counts a started request, whether or not it was queued."""
     queue.starts += 1
     served = max(queue.served.get(workspace, 0.0), queue.virtual_time)
     queue.virtual_time = served
@@ -158,28 +164,31 @@
 
 
 def record_finish(queue: Queue, graph: str, now_s: float) -> None:
-    """Counts a finished request; what finishes is what makes room."""
+    """Updates the mean interval between requests that finish.
+
+    A waiting request can start only when another one finishes.
+    """
     last = queue.last_finish_s.get(graph)
     queue.last_finish_s[graph] = now_s
     if last is None:
         return
-    pause = max(now_s - last, MIN_INTERVAL_S)
-    old = queue.intervals_s.get(graph, pause)
+    interval_s = max(now_s - last, MIN_INTERVAL_S)
+    old = queue.intervals_s.get(graph, interval_s)
     queue.intervals_s[graph] = (
         1 - INTERVAL_WEIGHT
-    ) * old + INTERVAL_WEIGHT * pause
+    ) * old + INTERVAL_WEIGHT * interval_s
 
 
 def remove(queue: Queue, request_id: str) -> None:
-    """Takes a request off the queue because its caller is gone."""
+    """Removes a request from the queue because its caller disconnected."""
     queue.waiting.pop(request_id, None)
 
 
 def expire(queue: Queue, now_s: float) -> list[Waiting]:
-    """Takes off and returns requests that can't be started in time.
+    """Removes and returns requests that can't be started in time.
 
-    Not only those whose deadline has come: one that others have got ahead of
-    is told at once, so that its caller can turn elsewhere.
+    Includes requests that no longer can because others were queued ahead of
+    them, so that their callers can try elsewhere before the deadline.
     """
     late = [
         w
@@ -203,11 +212,12 @@
 
 
 def _find_evictable(queue: Queue, item: Waiting) -> Waiting | None:
-    """Returns the request that must give way to another one.
+    """Returns the request to evict for another one, if any.
 
-    That is the newest of the lowest priority; or, where none is lower, the
-    newest of the workspace that fills the queue, if that has two more waiting
-    than the newcomer's: a large workspace must not keep a small one out.
+    That is the newest of the lowest priority. If none is lower, it is the
+    newest of the workspace with most requests in the queue, provided that it
+    has at least two more than the new request's workspace: a large workspace
+    must not keep a small one out.
     """
     movable = [w for w in queue.waiting.values() if not w.is_begun]
     if not movable:
--- a/egretspur/admission/repeats.py
+++ b/egretspur/admission/repeats.py
@@ -1,6 +1,7 @@
 """One host's view of the retry budgets of all services: pure.
 
-Joins what this host has spent with what the others said. Read next:
+Combines the retries that this host has sent with those that its peers
+published. Read next:
 `egretspur.admission.shared`.
 """
 
@@ -17,20 +18,20 @@
 
 @attrs.frozen
 class Options:
-    """Repeats allowed to all hosts together."""
+    """Retries allowed to all hosts together."""
 
-    # Repeats earned by each request.
+    # Retries earned by each request.
     ratio: float
-    # Repeats allowed in a window besides.
+    # Retries allowed in a window in addition.
     allowance: float
     window_s: float
-    # Since when this host hears what the others spend; infinite where it has
-    # heard nobody yet.
+    # Time since which this host receives peer updates; infinite if it has not
+    # received any yet.
     since_s: float = -math.inf
 
 
 class RetryBudgets:
-    """See the module's docstring."""
+    """Retry budgets by service, as one host sees them."""
 
     def __init__(
         self,
@@ -38,12 +39,12 @@
         options: Options,
         rng: random.Random | None = None,
     ) -> None:
-        """Makes a state in which nothing was spent.
+        """Makes budgets of which nothing is spent.
 
         Args:
-            data_centre: Of this host.
-            options: What all hosts together may spend on one service.
-            rng: Draws which new hosts repeat first.
+            data_centre: Data centre of this host.
+            options: Limits of all hosts together for one service.
+            rng: Draws the initial credit of a new host.
         """
         # Hosts that share the budgets, this one included.
         self.hosts = 1
@@ -54,11 +55,11 @@
         self._ledger = shared.PeerLedger(data_centre, options.window_s)
 
     def is_new(self, now_s: float) -> bool:
-        """Tells whether repeats from before this host's start may count."""
+        """Tells whether retries from before this host's start may count."""
         return self._get_age_s(now_s) < self._options.window_s
 
     def _get_age_s(self, now_s: float) -> float:
-        """Returns how long this host has heard the others."""
+        """Returns for how long this host has received peer updates."""
         return now_s - self._since_s
 
     def earn(self, service: str, now_s: float) -> None:
@@ -66,18 +67,23 @@
         self._get(service).earn(now_s)
 
     def spend(self, service: str, now_s: float) -> bool:
-        """Takes one repeat; tells whether there was one."""
+        """Takes one retry; returns whether one was available."""
         others = self._ledger.sum_peers(service, now_s)
         return self._get(service).spend(
             self.hosts, now_s, others, self._get_age_s(now_s)
         )
 
     def refund(self, service: str, taken_s: float) -> None:
-        """Returns a repeat that was taken then and not sent."""
+        """Returns a retry to the budget that was taken but not sent.
+
+        Args:
+            service: Service of the retry.
+            taken_s: Time at which it was taken.
+        """
         self._get(service).refund(taken_s)
 
     def get_balance(self, service: str, now_s: float) -> shared.Balance:
-        """Returns where this host stands with a service's budget."""
+        """Returns this host's balance of a service's budget."""
         budget = self._get(service)
         return budget.get_balance(self.hosts, self._get_age_s(now_s))
 
@@ -89,14 +95,15 @@
         now_s: float,
         is_new: bool = False,
     ) -> None:
-        """Takes what another host, or a whole data centre, has spent.
+        """Stores what another host, or a whole data centre, has spent.
 
         Args:
-            host: Who said it.
-            data_centre: Of that host.
-            spent: By service.
+            host: Host that sent the update.
+            data_centre: Data centre of that host.
+            spent: Spending by service.
             now_s: Monotonic time.
-            is_new: That host has heard others for less than a window.
+            is_new: Whether that host has received peer updates for less than
+                a window.
         """
         self._since_s = min(self._since_s, now_s)
         self._ledger.apply_peer_update(host, data_centre, spent, now_s, is_new)
@@ -110,7 +117,7 @@
         }
 
     def sum_local(self, now_s: float) -> dict[str, shared.Spent]:
-        """Returns what the hosts of this data centre have spent."""
+        """Returns what all hosts of this data centre have spent."""
         return {
             service: own.add(
                 self._ledger.sum_peers(service, now_s, local_only=True)
--- a/egretspur/admission/room.py
+++ b/egretspur/admission/room.py
@@ -1,8 +1,8 @@
-"""Request memory: what a request will need and what an engine has: pure.
+"""Request memory (key-value cache) of requests and engines: pure.
 
 An engine that runs out of request memory evicts the newest request in the
-middle of its answer and reads its prompt again. One that is admitted beyond
-the memory therefore harms another one's answer besides its own.
+middle of its answer and later processes its prompt again. A request admitted
+beyond the memory therefore delays another request's answer besides its own.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 from egretspur.catalog import config, upstreams
 
-# Part of the expected answer that is reserved beside the prompt. Requests are
-# at different points of their answers; on average half of it is written.
+# Fraction of the expected answer that is reserved in addition to the prompt.
+# Running requests are at different points of their answers, on average halfway.
 RESERVED_ANSWER_FRACTION: Final = 0.6
 
-# Part of an engine's request memory that is given out; the rest is for
+# Fraction of an engine's request memory that is allocated; the rest is for
 # answers longer than expected.
 USABLE_FRACTION: Final = 0.92
 
@@ -27,8 +27,8 @@
 
     Args:
         prompt: Tokens of the prompt.
-        max_answer: Most tokens of the answer.
-        expected_answer: The caller's estimate of the answer; 0 if there is none.
+        max_answer: Maximum tokens of the answer.
+        expected_answer: The caller's estimate of the answer; 0 if none.
         mean_answer: Mean answer of the service.
     """
     answer = (
