--- a/egretspur/admission/shared.py
+++ b/egretspur/admission/shared.py
@@ -1,25 +1,25 @@
-"""A host's part of the retry budget that all hosts share: pure.
-
-A service may get only so many repeats in any window, whoever sends them. An
-even part for each host is safe and mostly lies idle: among two hundred hosts
-it is four or five repeats, and those few hosts whose answers ran over a dead
-engine need them at once, while the others need none. So each host keeps a part
-of its share to itself, and the rest is a pool from which all borrow. Each host
-tells what it has borrowed. Of what is left, half is for those who are known to
-borrow, in even parts among them, and half for hosts that begin to, in even
-parts among all: were all to begin in the same moment, knowing nothing of each
-other, they would take that half and no more.
-
-A host that no longer hears of the others borrows nothing of theirs, since they
-may well be alive. What a host has may be spent at once: when an engine dies,
-all that it was working on is repeated in the same moment.
-
-What a host has spent is known to its process alone, and ends with it. So a new
-host, which has heard the others for less than a window, has no part yet: it may
-have spent that before its start, and those repeats still stand in the window.
-It has a part of the reserve, which grows from nothing at its start, so that a
-host that starts again and again has no more. What a host has borrowed counts
-for a whole window after its last word.
+"""A host's share of the retry budget that all hosts share: pure.
+
+The retries that all hosts together send to a service are limited per window.
+An even share for each host is safe but mostly unused: among two hundred hosts
+it is four or five retries, and the few hosts whose answers depended on a failed
+engine need more at once, while the others need none. So each host has a
+guaranteed part of its share, and the rest is a pool from which all borrow. Each
+host publishes what it has borrowed. Half of what is left in the pool is divided
+evenly among the known borrowers, and half evenly among all hosts, for those
+that start to borrow: if all start at the same time without knowing of each
+other, they take at most that half.
+
+A host that no longer receives peer updates borrows nothing, since its peers may
+well be alive. A host may spend its whole share at once: when an engine fails,
+all requests that it was running are retried at the same time.
+
+What a host has spent is known only to its process and is lost when that stops.
+So a new host, one that has received peer updates for less than a window, has no
+share yet: it may have spent it before its start, and those retries still count
+in the window. It has a part of a reserve, which grows from nothing at its
+start, so that a host that restarts repeatedly gets no more. What a host has
+borrowed counts for a whole window after its last update.
 """
 
 from __future__ import annotations
@@ -31,38 +31,37 @@
 
 import attrs
 
-# Part of the allowance that is used. The rest is for new hosts, and covers
-# windows that are cut otherwise than here, and repeats under way.
+# Fraction of the allowance that is used. The rest is for new hosts, for windows
+# that start at other times than here, and for retries in flight.
 USED_FRACTION: Final = 0.85
 
-# Part of the allowance that new hosts may use besides.
+# Fraction of the allowance that new hosts may use in addition.
 RESERVE_FRACTION: Final = 0.1
 
-# Part of its share that a host keeps to itself, and spends whatever the others
-# do. With the first loan that is 0.85 of its even share at once, among 195
-# hosts the same four repeats; more would leave less to those who need it.
+# Guaranteed fraction of a host's share, independent of the other hosts. With
+# the first loan, 0.85 of the even share is available at once, among 195 hosts
+# the same four retries; more would leave less to the hosts that need it.
 GUARANTEED_FRACTION: Final = 0.7
 
-# Part of the pool's rest for hosts that begin to borrow.
+# Fraction of what is left in the pool for hosts that start to borrow.
 NEW_BORROWER_FRACTION: Final = 0.5
 
-# Seconds between two loans: what was borrowed is told to all within two
-# datagrams, one of which may be lost.
+# Time between two loans. By then two datagrams have published the first one,
+# one of which may be lost.
 LOAN_INTERVAL_S: Final = 0.6
 
-# A host's part is lent for so long after its last word.
+# How long after its last update a host's share may be lent to others.
 PEER_TIMEOUT_S: Final = 0.9
 
 
 @attrs.frozen
 class Spent:
-    """What hosts have made of a service's budget in the last window."""
+    """What hosts have spent of a service's budget in the last window."""
 
-    # Hosts that have a part, and their requests; new hosts have none to lend.
+    # Hosts that have a share, and their requests; new hosts have none to lend.
     hosts: int = 0
     requests: int = 0
-    # Repeats beyond what each of them keeps to itself, and how many of them
-    # have any.
+    # Retries beyond each host's guaranteed share, and how many hosts have any.
     borrowed: float = 0.0
     borrowers: int = 0
 
@@ -81,31 +80,31 @@
 
 @attrs.frozen
 class Balance:
-    """Where a host stands with its part, for the log."""
+    """A host's use of the budget, for the log."""
 
-    # Repeats in the last window.
+    # Retries in the last window.
     sent: int = 0
-    # Repeats that it may send in one: its own, and borrowed ones.
+    # Retries that it may send in a window: guaranteed and borrowed ones.
     guaranteed: float = 0.0
     borrowed: float = 0.0
 
 
 @attrs.define
 class SharedBudget:
-    """Repeats this host may send to one service."""
+    """Retries this host may send to one service."""
 
-    # Repeats earned by each request.
+    # Retries earned by each request.
     ratio: float
-    # Repeats allowed to all hosts in a window besides.
+    # Retries allowed to all hosts in a window in addition.
     allowance: float
     window_s: float
-    # Part of a repeat that a new host has from its start, drawn by each: many
-    # that have less than a whole one each then have their sum.
+    # Fraction of a retry that a new host has from its start, drawn at random:
+    # many hosts with a share below one retry then get about its sum in total.
     start_credit: float = 0.0
-    # Times of this host's requests and repeats of the last window.
+    # Times of this host's requests and retries of the last window.
     _requests: collections.deque[float] = attrs.Factory(collections.deque)
     _retries: collections.deque[float] = attrs.Factory(collections.deque)
-    # Borrowed of the pool, and when the next loan may be taken.
+    # Retries borrowed from the pool, and when the next loan may be taken.
     _borrowed: float = 0.0
     _next_loan_s: float = 0.0
 
@@ -121,13 +120,13 @@
         others: Spent = NOTHING_SPENT,
         age_s: float = math.inf,
     ) -> bool:
-        """Takes one repeat; tells whether there was one.
+        """Takes one retry; returns whether one was available.
 
         Args:
             hosts: Hosts that share the budget, this one included.
             now_s: Monotonic time.
-            others: What the other hosts have spent, as far as it was heard.
-            age_s: Since this host began to hear the others.
+            others: What the other hosts have published as spent.
+            age_s: Seconds for which this host has received peer updates.
         """
         self._drop_expired(now_s)
         wanted = len(self._retries) + 1
@@ -140,14 +139,14 @@
         return True
 
     def refund(self, taken_s: float) -> None:
-        """Returns a repeat that was taken then and not sent."""
+        """Returns a retry to the budget that was taken at `taken_s`, unsent."""
         if taken_s in self._retries:
             self._retries.remove(taken_s)
 
     def report_spent(
         self, hosts: int, now_s: float, age_s: float = math.inf
     ) -> Spent:
-        """Returns what this host has spent, for the others."""
+        """Returns what this host has spent, for its peers."""
         self._drop_expired(now_s)
         if self._is_new(age_s):
             return NOTHING_SPENT
@@ -156,7 +155,7 @@
         return self._summarize(hosts)
 
     def get_balance(self, hosts: int, age_s: float = math.inf) -> Balance:
-        """Returns where this host stands, as of its last repeat."""
+        """Returns this host's balance as of its last retry."""
         return Balance(
             len(self._retries),
             self._get_guaranteed(hosts, age_s),
@@ -164,21 +163,21 @@
         )
 
     def _is_new(self, age_s: float) -> bool:
-        """Tells whether repeats from before this host's start may count."""
+        """Tells whether retries from before this host's start may count."""
         return age_s < self.window_s
 
     def _summarize(self, hosts: int) -> Spent:
-        # Its part may have become smaller than what it has spent of it.
+        # The guaranteed share may have shrunk below what was spent of it.
         beyond = len(self._retries) - self._get_guaranteed(hosts)
         borrowed = max(self._borrowed, beyond)
         return Spent(1, len(self._requests), borrowed, int(borrowed > 0))
 
     def _borrow(self, hosts: int, now_s: float, others: Spent) -> None:
-        """Takes a part of what is left in the pool."""
+        """Borrows a share of what is left in the pool."""
         if now_s < self._next_loan_s:
             return
         self._next_loan_s = now_s + LOAN_INTERVAL_S
-        # Less than a whole repeat goes to the next one.
+        # Less than a whole retry is carried over to the next loan.
         self._return_unused(hosts, 1.0)
         known = others.add(self._summarize(hosts))
         share = self._get_share(known.hosts, hosts, known.requests)
@@ -192,15 +191,15 @@
             self._borrowed += NEW_BORROWER_FRACTION * rest / known.hosts
 
     def _return_unused(self, hosts: int, kept: float) -> None:
-        """Returns what was borrowed and not spent, or long ago, but a rest."""
+        """Returns loans that were not spent, or expired, except `kept`."""
         spent = max(0.0, len(self._retries) - self._get_guaranteed(hosts))
         self._borrowed = min(self._borrowed, spent + kept)
 
     def _get_guaranteed(self, hosts: int, age_s: float = math.inf) -> float:
-        """Returns the repeats that this host has to itself."""
+        """Returns the retries guaranteed to this host."""
         requests = len(self._requests)
         if self._is_new(age_s):
-            # Its part may be spent already, by itself before its start.
+            # It may have spent its share before its start.
             part = max(0.0, age_s / self.window_s)
             return (
                 RESERVE_FRACTION * self._get_share(part, hosts, requests)
@@ -213,7 +212,7 @@
         )
 
     def _get_share(self, part: float, hosts: int, requests: int) -> float:
-        """Returns the repeats allowed to some hosts, given their requests."""
+        """Returns the retries allowed to `part` hosts with these requests."""
         allowed = self.allowance * min(1.0, part / max(1, hosts))
         return allowed + self.ratio * requests
 
@@ -231,21 +230,22 @@
 
 
 class PeerLedger:
-    """What other hosts said of their repeats, by service."""
+    """What other hosts have published as spent, by service."""
 
     def __init__(self, data_centre: str, window_s: float) -> None:
         """Makes an empty ledger for a host of a data centre.
 
         Args:
-            data_centre: Of the host that keeps it.
-            window_s: Repeats count for so long.
+            data_centre: Data centre of the host that keeps it.
+            window_s: How long a retry counts.
         """
         self._data_centre = data_centre
         self._window_s = window_s
-        # By host near by, and by other data centre, whose newest sum counts:
-        # where its speaker changes the former one's sum is of the same hosts.
-        # What a new host says stands beside what was said before its start,
-        # which it does not know.
+        # By host within this data centre, or by other data centre, for which
+        # the newest sum counts: if another host starts to report for it, the
+        # former one's sum covers the same hosts. The second part of the key
+        # tells whether the sender is new: its update is kept beside the one
+        # from before its start, which it does not know of.
         self._by_peer: dict[tuple[str, bool], _PeerSpent] = {}
 
     def apply_peer_update(
@@ -256,17 +256,18 @@
         now_s: float,
         is_new: bool = False,
     ) -> None:
-        """Takes what a host said; for all of another data centre.
+        """Stores the update of a host, or of a whole other data centre.
 
         Args:
-            host: Who said it.
-            data_centre: Of that host.
-            spent: By service.
+            host: Host that sent the update.
+            data_centre: Data centre of that host.
+            spent: Spending by service.
             now_s: Monotonic time.
-            is_new: That host has heard others for less than a window.
+            is_new: Whether that host has received peer updates for less than
+                a window.
         """
-        is_near = data_centre == self._data_centre
-        key = host if is_near else data_centre
+        is_local = data_centre == self._data_centre
+        key = host if is_local else data_centre
         self._by_peer[key, is_new] = _PeerSpent(now_s, data_centre, spent)
         if not is_new:
             self._by_peer.pop((key, True), None)
@@ -274,20 +275,20 @@
     def sum_peers(
         self, service: str, now_s: float, local_only: bool = False
     ) -> Spent:
-        """Returns what the other hosts have spent, as far as it was heard."""
+        """Returns the sum of what peers have published as spent."""
         self._by_peer = {
             k: t
             for k, t in self._by_peer.items()
             if now_s - t.at_s < self._window_s
         }
         total = NOTHING_SPENT
-        for told in self._by_peer.values():
-            if local_only and told.data_centre != self._data_centre:
+        for update in self._by_peer.values():
+            if local_only and update.data_centre != self._data_centre:
                 continue
-            # Who had no request for a service tells nothing of it.
-            spent = told.spent.get(service, NOTHING_SPENT)
-            if now_s - told.at_s >= PEER_TIMEOUT_S:
-                # It may be gone; its repeats stay in the window.
+            # A host without requests for a service publishes nothing about it.
+            spent = update.spent.get(service, NOTHING_SPENT)
+            if now_s - update.at_s >= PEER_TIMEOUT_S:
+                # The host may be gone; its retries still count in the window.
                 spent = Spent(borrowed=spent.borrowed)
             total = total.add(spent)
         return total
--- a/egretspur/admission/throttle.py
+++ b/egretspur/admission/throttle.py
@@ -1,18 +1,18 @@
-"""A host's part of the rate limits that upstreams name for all hosts: pure.
+"""A host's share of the rate limits that upstreams set for all hosts: pure.
 
-An upstream in need names in its answers how many requests a second it takes,
-from all hosts together, for as long as it says so. Each host sends its part of
-them, by what it wants to send (`egretspur.admission.demand`).
+An overloaded upstream states in its answers how many requests a second it
+accepts from all hosts together. The limit holds until an answer omits it. Each
+host sends a share in proportion to its demand (`egretspur.admission.demand`).
 
-A part is mostly less than one request in a while, and there are many hosts. So
-it is not saved up: were it, each of sixty idle hosts would hold one request
-ready, and all would send it in the same moment. A host has turns instead, one
-in each period of its part, from a first one that it draws. A turn that isn't
-used is soon lost. So what all hosts may send at once is a second's worth or
-two, whenever they were told and whatever they did before.
+A share is often below one request a second, and there are many hosts. With a
+token bucket per host, each of sixty idle hosts would save up one request, and
+all could send it at the same time. So each host paces its requests instead: one
+slot per period of its share, the first at a random time. An unused slot expires
+soon. All hosts together can therefore send a burst of one or two seconds' worth
+at most, whenever they learned of the limit and whatever they did before.
 
-Hosts tell each other what was named, and that it no longer is: one that sends
-nothing has no answer to learn it from. The newest word counts.
+Hosts publish limits, and that a limit was lifted, to each other, since a host
+that sends nothing gets no answers to learn from. The newest report counts.
 """
 
 from __future__ import annotations
@@ -26,38 +26,39 @@
 
 from egretspur.admission import demand
 
-# Part of a limit that is used. The rest is for hosts that know too few others.
+# Fraction of a limit that is used. The rest is for hosts that know too few of
+# their peers, and therefore compute too large a share.
 USED_FRACTION: Final = 0.9
 
-# What all hosts together may hold ready: so many seconds of a limit, and so
-# many requests besides, without which a low limit would hardly be used.
+# Burst of all hosts together: seconds of a limit, plus a number of requests,
+# without which a low limit would hardly be used.
 BURST_S: Final = 0.5
 BURST_REQUESTS: Final = 1.0
 
-# An upstream that takes less, or nothing, is sent so many requests a second:
-# its answer to one is the only way to learn that it takes more again.
+# Lower bound of the rate to an upstream, even if its limit is lower or zero:
+# only its answers show that it accepts more again.
 MIN_RATE_PER_S: Final = 0.05
 
-# Seconds between two looks at what part of a limit is this host's.
+# Time between two computations of this host's share of a limit.
 SHARE_UPDATE_S: Final = 0.25
 
-# How much older what another host tells is than it says: the way, and the wait
-# for others that come at the same time, in seconds. Were it less, a word that
-# goes round would become newer with each host.
+# Added to the age of a limit that a peer publishes, for transmission and for
+# the wait behind datagrams that arrive at the same time. With less, a report
+# that is passed on would become newer at each host.
 PEER_DELAY_S: Final = 0.1
 
-# That a limit is no longer named is told for so long, in seconds.
+# How long the lifting of a limit is published.
 LIFTED_PUBLISH_S: Final = 3.0
 
-# Limits in one datagram.
+# Maximum number of limits in one datagram.
 MAX_PUBLISHED: Final = 24
 
 
 @attrs.frozen
 class Limit:
-    """What an upstream named last, as a host knows it."""
+    """The newest limit of an upstream, as a host knows it."""
 
-    # Requests a second from all hosts; None if its last answer named none.
+    # Requests a second from all hosts; None if its last answer set no limit.
     per_s: float | None
     # Monotonic time of that answer.
     at_s: float
@@ -65,80 +66,81 @@
 
 @attrs.frozen
 class PublishedLimit:
-    """The same as hosts tell each other."""
+    """A limit as hosts publish it to each other."""
 
     per_s: float | None
-    # Since the answer, in seconds.
+    # Seconds since the upstream's answer.
     age_s: float
-    # Requests that the teller, or its data centre, wants to send there.
+    # Requests that the sender, or its data centre, wants to send there.
     wanted: int = 0
 
 
 @attrs.frozen
 class Opening:
-    """When upstreams that are at their limits take more of this host."""
+    """When upstreams that are at their limits accept more from this host."""
 
     # Seconds until the first of them does.
     wait_s: float
-    # Requests a second that they take of this host from then on.
+    # Requests a second that they accept from this host from then on.
     per_s: float
 
     def estimate_wait_s(self, waiting: int) -> float:
-        """Returns the seconds until one more, after those that wait, is due."""
+        """Returns the seconds until a request behind `waiting` ones starts."""
         return self.wait_s + waiting / self.per_s
 
     def describe(self, waiting: int) -> str:
-        """Returns why one more after those that wait comes too late."""
+        """Returns why a request behind `waiting` ones starts too late."""
         return f"{waiting} wait for {self.per_s:.2f} a second"
 
 
 @attrs.define
 class _Pacer:
-    """This host's turns at one upstream."""
+    """Schedule of this host's requests to one upstream."""
 
+    # Time of the next slot, and the interval between two slots.
     next_s: float
     period_s: float
-    # How long a turn is kept.
+    # How long an unused slot remains valid.
     slot_ttl_s: float
-    # When the period is to be looked at again.
+    # When the period is computed again.
     refresh_s: float
 
 
 class Throttle:
-    """Limits that upstreams have named, and this host's turns."""
+    """Rate limits of upstreams, and this host's pacing of requests."""
 
     def __init__(
         self, data_centre: str = "", rng: random.Random | None = None
     ) -> None:
-        """Makes a state in which no upstream has named one.
+        """Makes a throttle without limits.
 
         Args:
-            data_centre: Of this host.
-            rng: Draws first turns.
+            data_centre: Data centre of this host.
+            rng: Draws the time of the first slot.
         """
-        # Upstreams with a limit. Replaced as a whole, never changed: other
+        # Upstreams with a limit. Replaced instead of changed, since other
         # threads read it.
         self.limited: frozenset[str] = frozenset()
         self.demand = demand.Demand(data_centre)
         self._rng = rng or random.Random()
         self._limits: dict[str, Limit] = {}
         self._pacers: dict[str, _Pacer] = {}
-        # Upstreams whose last answer named something that is no limit.
+        # Upstreams whose last answer had a limit that could not be parsed.
         self._unreadable: set[str] = set()
 
     def record_limit(
         self, upstream_id: str, per_s: float | None, now_s: float
     ) -> bool:
-        """Takes what an answer named; tells whether that is new."""
+        """Stores the limit of an answer; returns whether it changed."""
         self._unreadable.discard(upstream_id)
         if per_s is None and upstream_id not in self._limits:
             return False
         return self._set_limit(upstream_id, Limit(per_s, now_s))
 
     def record_unreadable(self, upstream_id: str) -> bool:
-        """Takes that an answer named no limit; tells whether that is new.
+        """Records an unreadable limit; returns whether that is new.
 
-        What was named before holds.
+        The previous limit still holds.
         """
         is_new = upstream_id not in self._unreadable
         self._unreadable.add(upstream_id)
@@ -152,32 +154,33 @@
         told: PublishedLimit,
         now_s: float,
     ) -> bool:
-        """Takes what another host told; tells whether the limit is new.
+        """Merges a limit from a peer; returns whether the limit changed.
 
         Args:
-            host: Who told it, in other data centres for all hosts there.
-            data_centre: Of that host.
+            host: Host that sent it, in other data centres for all hosts there.
+            data_centre: Data centre of that host.
             upstream_id: The upstream.
-            told: The limit that it named.
+            told: Limit and demand that the peer published.
             now_s: Monotonic time.
         """
         self.demand.apply_peer_update(
             host, data_centre, upstream_id, told.wanted, now_s
         )
         known = self._limits.get(upstream_id)
-        heard = Limit(told.per_s, now_s - told.age_s - PEER_DELAY_S)
-        if known is not None and heard.at_s <= known.at_s:
+        received = Limit(told.per_s, now_s - told.age_s - PEER_DELAY_S)
+        if known is not None and received.at_s <= known.at_s:
             return False
-        return self._set_limit(upstream_id, heard)
+        return self._set_limit(upstream_id, received)
 
     def list_updates(
         self, now_s: float, is_speaker: bool = False
     ) -> dict[str, PublishedLimit]:
-        """Returns what the other hosts are to be told, the newest first.
+        """Returns the limits to publish to other hosts, newest first.
 
         Args:
             now_s: Monotonic time.
-            is_speaker: For other data centres, for all hosts of this one.
+            is_speaker: Whether this is for other data centres, with the demand
+                of all hosts of this one.
         """
         count = self.demand.count_local if is_speaker else self.demand.count_own
         rows = [
@@ -194,7 +197,7 @@
         return dict(rows[:MAX_PUBLISHED])
 
     def get_limit(self, upstream_id: str) -> float | None:
-        """Returns what an upstream takes of all hosts a second, if it says."""
+        """Returns an upstream's limit in requests a second, if it has one."""
         known = self._limits.get(upstream_id)
         return known.per_s if known else None
 
@@ -205,15 +208,15 @@
         return self._get_pacer(upstream_id, now_s).next_s <= now_s
 
     def record_send(self, upstream_id: str, now_s: float) -> None:
-        """Counts a request that is sent."""
+        """Takes a slot for a request that is sent."""
         if upstream_id in self.limited:
-            turns = self._get_pacer(upstream_id, now_s)
-            turns.next_s += turns.period_s
+            pacer = self._get_pacer(upstream_id, now_s)
+            pacer.next_s += pacer.period_s
 
     def find_opening(
         self, upstream_ids: Container[str], now_s: float
     ) -> Opening | None:
-        """Returns when the first of some upstreams takes more.
+        """Returns when the first of some upstreams accepts more.
 
         None if none of them has a limit.
         """
@@ -228,7 +231,7 @@
         )
 
     def remove_unlisted(self, listed: Container[str]) -> None:
-        """Drops what is known of upstreams that are no longer listed."""
+        """Drops the state of upstreams that are no longer listed."""
         self._unreadable = {i for i in self._unreadable if i in listed}
         gone = [i for i in self._limits if i not in listed]
         for upstream_id in gone:
@@ -256,27 +259,27 @@
         )
 
     def _get_pacer(self, upstream_id: str, now_s: float) -> _Pacer:
-        """Returns the turns at an upstream with a limit, as of now."""
-        turns = self._pacers.get(upstream_id)
-        if turns is None or now_s >= turns.refresh_s:
-            turns = self._make_pacer(upstream_id, turns, now_s)
-            self._pacers[upstream_id] = turns
-        late_s = now_s - turns.slot_ttl_s - turns.next_s
+        """Returns the pacer of an upstream with a limit, as of now."""
+        pacer = self._pacers.get(upstream_id)
+        if pacer is None or now_s >= pacer.refresh_s:
+            pacer = self._make_pacer(upstream_id, pacer, now_s)
+            self._pacers[upstream_id] = pacer
+        late_s = now_s - pacer.slot_ttl_s - pacer.next_s
         if late_s > 0:
-            turns.next_s += math.ceil(late_s / turns.period_s) * turns.period_s
-        return turns
+            pacer.next_s += math.ceil(late_s / pacer.period_s) * pacer.period_s
+        return pacer
 
     def _make_pacer(
         self, upstream_id: str, old: _Pacer | None, now_s: float
     ) -> _Pacer:
-        """Returns the turns by this host's present part."""
+        """Returns a pacer for this host's current share."""
         per_s = max(MIN_RATE_PER_S, self._limits[upstream_id].per_s or 0.0)
-        part = self.demand.get_share(upstream_id, now_s)
-        period_s = 1.0 / (USED_FRACTION * per_s * part)
+        share = self.demand.get_share(upstream_id, now_s)
+        period_s = 1.0 / (USED_FRACTION * per_s * share)
         if old is None:
             next_s = now_s + self._rng.uniform(0.0, period_s)
         else:
-            # What has passed of the period has earned its part of a turn.
+            # The elapsed fraction of the old period counts towards the slot.
             ahead_s = old.next_s - now_s
             scale = period_s / old.period_s if ahead_s > 0 else 1.0
             next_s = now_s + ahead_s * scale
