--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -219,7 +219,7 @@
 
     @handle.register
     def _(self, message: IsHeld) -> bool:
-        return self._dispatcher.quarantine.is_held(message.fingerprint)
+        return self._dispatcher.quarantine.is_blocked(message.fingerprint)
 
     @handle.register
     def _(self, message: NoteCall) -> None:
@@ -262,7 +262,7 @@
             marks,
             self._dispatcher.get_demand(),
             self._dispatcher.list_ended(time.monotonic()),
-            self._dispatcher.availability.throttle.list_told(time.monotonic()),
+            self._dispatcher.availability.throttle.list_updates(time.monotonic()),
         )
 
     @handle.register
@@ -285,7 +285,7 @@
                 for name, load in sorted(state.network.loads.items())
             ),
             {n: tuple(sorted(f)) for n, f in state.network.leaving.items()},
-            {f: dict(e) for f, e in state.quarantine.list_held().items()},
+            {f: dict(e) for f, e in state.quarantine.list_quarantined().items()},
         )
 
     def note_failed(self, message: Any) -> None:
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -81,7 +81,7 @@
 @then("only that one is in quarantine, at every host")
 def step_only_one(context: Any) -> None:
     for host in context.world.hosts:
-        assert list(host.state.quarantine.list_held()) == [crashes.FATAL]
+        assert list(host.state.quarantine.list_quarantined()) == [crashes.FATAL]
 
 
 @then("none of the others was refused as in quarantine")
