--- a/egretspur/admission/quarantine.py
+++ b/egretspur/admission/quarantine.py
@@ -179,17 +179,17 @@
             self._cuts.append(cut)
 
     def resolve_cuts(
-        self, look: Callable[[str], UpstreamState], now_s: float
+        self, get_state: Callable[[str], UpstreamState], now_s: float
     ) -> None:
         """Evaluates the cuts whose upstreams' states are known by now.
 
         Args:
-            look: Returns the state of an upstream.
+            get_state: Returns the state of an upstream.
             now_s: Monotonic time.
         """
         cuts, self._cuts = self._cuts, []
         for cut in cuts:
-            states = {u: look(u) for u in cut.upstreams}
+            states = {u: get_state(u) for u in cut.upstreams}
             crashed = [
                 u for u, s in states.items() if s is UpstreamState.CRASHED
             ]
@@ -214,15 +214,15 @@
         self._clear_crashes(fingerprint, True, now_s)
 
     def apply_peer_update(
-        self, told: Mapping[str, Crashes], now_s: float
+        self, records: Mapping[str, Crashes], now_s: float
     ) -> None:
         """Merges records from another host or the store.
 
         Args:
-            told: Crashes by request; none if it was answered or released.
+            records: Crashes by request; none if it was answered or released.
             now_s: Monotonic time.
         """
-        for fingerprint, crashes in told.items():
+        for fingerprint, crashes in records.items():
             if not crashes:
                 self._clear_crashes(fingerprint, False, now_s)
             elif self._was_answered(fingerprint, now_s):
@@ -284,12 +284,12 @@
         )
 
     def _add_crashes(
-        self, fingerprint: str, ends: Crashes, is_own: bool, now_s: float
+        self, fingerprint: str, crashes: Crashes, is_own: bool, now_s: float
     ) -> None:
         """Adds crashes to a request and quarantines it at the threshold."""
         record = self._get_record(fingerprint)
         record.is_own |= is_own
-        for name, weight in ends.items():
+        for name, weight in crashes.items():
             if record.crashes.get(name, 0.0) < weight:
                 record.crashes[name] = weight
                 record.at_s = now_s
--- a/egretspur/admission/shared.py
+++ b/egretspur/admission/shared.py
@@ -211,9 +211,9 @@
             * self._get_share(1, hosts, requests)
         )
 
-    def _get_share(self, part: float, hosts: int, requests: int) -> float:
-        """Returns the retries allowed to `part` hosts with these requests."""
-        allowed = self.allowance * min(1.0, part / max(1, hosts))
+    def _get_share(self, host_count: float, hosts: int, requests: int) -> float:
+        """Returns the retries allowed to `host_count` hosts with these requests."""
+        allowed = self.allowance * min(1.0, host_count / max(1, hosts))
         return allowed + self.ratio * requests
 
     def _drop_expired(self, now_s: float) -> None:
--- a/egretspur/admission/throttle.py
+++ b/egretspur/admission/throttle.py
@@ -151,7 +151,7 @@
         host: str,
         data_centre: str,
         upstream_id: str,
-        told: PublishedLimit,
+        published: PublishedLimit,
         now_s: float,
     ) -> bool:
         """Merges a limit from a peer; returns whether the limit changed.
@@ -160,14 +160,16 @@
             host: Host that sent it, in other data centres for all hosts there.
             data_centre: Data centre of that host.
             upstream_id: The upstream.
-            told: Limit and demand that the peer published.
+            published: Limit and demand that the peer published.
             now_s: Monotonic time.
         """
         self.demand.apply_peer_update(
-            host, data_centre, upstream_id, told.wanted, now_s
+            host, data_centre, upstream_id, published.wanted, now_s
         )
         known = self._limits.get(upstream_id)
-        received = Limit(told.per_s, now_s - told.age_s - PEER_DELAY_S)
+        received = Limit(
+            published.per_s, now_s - published.age_s - PEER_DELAY_S
+        )
         if known is not None and received.at_s <= known.at_s:
             return False
         return self._set_limit(upstream_id, received)
--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -262,7 +262,9 @@
             marks,
             self._dispatcher.get_demand(),
             self._dispatcher.list_ended(time.monotonic()),
-            self._dispatcher.availability.throttle.list_updates(time.monotonic()),
+            self._dispatcher.availability.throttle.list_updates(
+                time.monotonic()
+            ),
         )
 
     @handle.register
@@ -285,7 +287,10 @@
                 for name, load in sorted(state.network.loads.items())
             ),
             {n: tuple(sorted(f)) for n, f in state.network.leaving.items()},
-            {f: dict(e) for f, e in state.quarantine.list_quarantined().items()},
+            {
+                f: dict(e)
+                for f, e in state.quarantine.list_quarantined().items()
+            },
         )
 
     def note_failed(self, message: Any) -> None:
