--- a/egretspur/actors.py
+++ b/egretspur/actors.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class _Asked:
+class _AwaitedMessage:
     """A message whose sender waits for the answer."""
 
     message: Any
@@ -34,14 +34,14 @@
         An exception goes to whoever asked. Nobody waits for the result of
         other messages, and an exception there would end the actor.
         """
-        if isinstance(message, _Asked):
+        if isinstance(message, _AwaitedMessage):
             return self.handle(message.message)
         with guard.surviving(type(self).__name__):
             return self.handle(message)
-        self.note_failed(message)
+        self.on_message_failed(message)
         return None
 
-    def note_failed(self, message: Any) -> None:
+    def on_message_failed(self, message: Any) -> None:
         """Told that a message that nobody waits for could not be handled."""
 
     def handle(self, message: Any) -> Any:
@@ -51,9 +51,9 @@
 
 def ask(ref: pykka.ActorRef[A], message: Any) -> Any:
     """Sends a message and waits for its answer."""
-    return ref.ask(_Asked(message), block=True)
+    return ref.ask(_AwaitedMessage(message), block=True)
 
 
-def make_unknown(message: object) -> TypeError:
+def make_unknown_message_error(message: object) -> TypeError:
     """Returns the error for a message that an actor has no rule for."""
     return TypeError(f"unknown message {message!r}")
--- a/egretspur/intents/actor.py
+++ b/egretspur/intents/actor.py
@@ -84,7 +84,7 @@
     @functools.singledispatchmethod
     def handle(self, message: object) -> Any:
         """Handles one message."""
-        raise actors.make_unknown(message)
+        raise actors.make_unknown_message_error(message)
 
     @handle.register(Read)
     def _(self, message: Read[Any]) -> Any:
--- a/egretspur/membership/actor.py
+++ b/egretspur/membership/actor.py
@@ -216,7 +216,7 @@
     @functools.singledispatchmethod
     def handle(self, message: object) -> Any:
         """Handles one message."""
-        raise actors.make_unknown(message)
+        raise actors.make_unknown_message_error(message)
 
     @handle.register
     def _(self, message: Tick) -> None:
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -208,7 +208,7 @@
     @functools.singledispatchmethod
     def handle(self, message: object) -> Any:
         """Handles one message."""
-        raise actors.make_unknown(message)
+        raise actors.make_unknown_message_error(message)
 
     @handle.register
     def _(self, message: Arrive) -> None:
@@ -350,7 +350,7 @@
             elif not self._busy.is_set():
                 self._busy.set()
 
-    def note_failed(self, message: Any) -> None:
+    def on_message_failed(self, message: Any) -> None:
         """Answers the request that could not be decided on."""
         questions.answer_failed(message)
 
