--- a/egretspur/bounds.py
+++ b/egretspur/bounds.py
@@ -12,13 +12,13 @@
 import attrs
 
 # What work that was held up takes to be cut, and that to arrive, in seconds.
-CUT_SLACK_S: Final = 0.5
+CUT_DELAY_S: Final = 0.5
 
 # Heartbeats that an upstream may miss before its entry lapses.
-MISSED: Final = 3
+MISSED_HEARTBEATS: Final = 3
 
 # Seconds between a record's writing and its being read by a reader.
-READ_S: Final = 0.4
+READ_DELAY_S: Final = 0.4
 
 
 def _check_positive(
@@ -39,15 +39,15 @@
     heartbeat_s: float = attrs.field(default=1.2, validator=_check_positive)
 
     @property
-    def silence_s(self) -> float:
+    def max_silence_s(self) -> float:
         """Longest silence of a stream whose connection may be alive.
 
         An answer that is held up may still go on; ended sooner than the
         platform does, it would be lost by this host's own doing.
         """
-        return self.stall_s + CUT_SLACK_S
+        return self.stall_s + CUT_DELAY_S
 
     @property
-    def lapse_s(self) -> float:
+    def entry_ttl_s(self) -> float:
         """Time after which an entry that is not written again is gone."""
-        return MISSED * self.heartbeat_s + READ_S
+        return MISSED_HEARTBEATS * self.heartbeat_s + READ_DELAY_S
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -172,7 +172,7 @@
         self.listed = UpstreamsSink(to)
         hosts = near.hosts
         configs = stores.make_config_topic(store)
-        listed = stores.make_upstreams_topic(store, limits.lapse_s)
+        listed = stores.make_upstreams_topic(store, limits.entry_ttl_s)
         held = stores.make_quarantine_topic(store)
         self._configs = feeds.Feed(
             "config",
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -98,7 +98,7 @@
         self._intake = intake.Intake(
             self._desk,
             upstream.UpstreamClient(
-                cfg.bounds.silence_s, self._desk.note_signals
+                cfg.bounds.max_silence_s, self._desk.note_signals
             ),
             self._watch,
             rng,
--- a/tests/listing.py
+++ b/tests/listing.py
@@ -27,7 +27,7 @@
 BORN_MS: Final = 1_764_700_000_000
 
 # After which an entry that is not written again is gone, in seconds.
-LAPSE_S: Final = bounds.Bounds().lapse_s
+LAPSE_S: Final = bounds.Bounds().entry_ttl_s
 
 
 @attrs.define
