--- a/egretspur/actors.py
+++ b/egretspur/actors.py
@@ -36,7 +36,7 @@
         """
         if isinstance(message, _AwaitedMessage):
             return self.handle(message.message)
-        with guard.surviving(type(self).__name__):
+        with guard.log_exceptions(type(self).__name__):
             return self.handle(message)
         self.on_message_failed(message)
         return None
--- a/egretspur/catalog/feeds.py
+++ b/egretspur/catalog/feeds.py
@@ -211,7 +211,7 @@
         self, since: positions.Position | None
     ) -> tuple[Result[T], positions.Position | None]:
         """Reads once and hands on; returns from where to read next."""
-        with guard.surviving(f"feed {self._name}") as failure:
+        with guard.log_exceptions(f"feed {self._name}") as failure:
             res = self.read_once(since, self._get_pace().wait_s)
             if not isinstance(res, Unavailable):
                 since = self.hand_on(res)
--- a/egretspur/catalog/quarantined.py
+++ b/egretspur/catalog/quarantined.py
@@ -191,7 +191,7 @@
             if self._stop.is_set():
                 return
             self._is_due.clear()
-            with guard.surviving("quarantine"):
+            with guard.log_exceptions("quarantine"):
                 if not self.write_waiting():
                     self._stop.wait(RETRY_S)
                     self._is_due.set()
--- a/egretspur/codec.py
+++ b/egretspur/codec.py
@@ -28,7 +28,7 @@
 
 
 # Recent strings that are shared between messages; few, since ids never recur.
-STRINGS_SHARED: Final = 1024
+STRING_CACHE_SIZE: Final = 1024
 
 
 @functools.cache
@@ -47,11 +47,11 @@
         raise TypeError(f"expected a string, got {value!r}")
     # Names of models, hosts and operators stand in thousands of records; read
     # from JSON, each would be a string of its own.
-    return _share(value)
+    return _intern(value)
 
 
-@functools.lru_cache(STRINGS_SHARED)
-def _share(value: str) -> str:
+@functools.lru_cache(STRING_CACHE_SIZE)
+def _intern(value: str) -> str:
     return value
 
 
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -134,7 +134,7 @@
         # A copy that was followed by another one is not completed.
         for era in [e for e in self._reports if e <= report.era]:
             self._reports.pop(era, None)
-        names = slice(decisions.NAMED)
+        names = slice(decisions.MAX_NAMED)
         decisions.record(
             decisions.StoreCopied(
                 report.before,
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -400,7 +400,7 @@
 
     def _watch_settings(self) -> None:
         while not self._stop.wait(SETTINGS_PERIOD_S):
-            with guard.surviving("settings"):
+            with guard.log_exceptions("settings"):
                 if self._file.is_changed() or self._is_reload_due:
                     self._is_reload_due = False
                     self._reload()
--- a/egretspur/decisions.py
+++ b/egretspur/decisions.py
@@ -22,7 +22,7 @@
 ROUTINE_KEY: Final = "is_routine"
 
 # Engines that one line names of each kind; a data centre may have a hundred.
-NAMED: Final = 8
+MAX_NAMED: Final = 8
 
 # Field that names the kind of line.
 EVENT_KEY: Final = "event"
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -136,7 +136,7 @@
     def _run(self) -> None:
         while not self._stop.wait(self._find_rest(time.monotonic())):
             self._has_streams.wait(IDLE_S)
-            with guard.surviving("watch"):
+            with guard.log_exceptions("watch"):
                 self.look(time.monotonic())
 
     def _find_rest(self, now_s: float) -> float:
--- a/egretspur/guard.py
+++ b/egretspur/guard.py
@@ -21,7 +21,7 @@
 from egretspur import decisions
 
 # Frames of the failing step that are logged, innermost last.
-FRAMES: Final = 4
+MAX_FRAMES: Final = 4
 
 
 @attrs.define
@@ -32,7 +32,7 @@
 
 
 @contextlib.contextmanager
-def surviving(where: str) -> Iterator[Failure]:
+def log_exceptions(where: str) -> Iterator[Failure]:
     """Logs an exception of the block and goes on after it.
 
     Args:
@@ -50,7 +50,7 @@
 
 def _describe_origin(exc: Exception) -> str:
     """Returns the innermost frames, such as ``fleet.py:120 get_usage``."""
-    frames = traceback.extract_tb(exc.__traceback__)[-FRAMES:]
+    frames = traceback.extract_tb(exc.__traceback__)[-MAX_FRAMES:]
     return " ".join(
         f"{pathlib.Path(f.filename).name}:{f.lineno} {f.name}" for f in frames
     )
--- a/egretspur/logs.py
+++ b/egretspur/logs.py
@@ -19,16 +19,18 @@
 from egretspur import decisions
 
 # Lines in the buffer at most; at 200 bytes a line about 1 MB.
-CAPACITY: Final = 5000
+MAX_BUFFERED_LINES: Final = 5000
 
 # Fields that steer the handler and are not written.
-_HIDDEN: Final = (decisions.ROUTINE_KEY, "taskName")
+_INTERNAL_FIELDS: Final = (decisions.ROUTINE_KEY, "taskName")
 
 
 class BoundedHandler(logging.Handler):
     """Buffers records and writes them in a thread of its own."""
 
-    def __init__(self, stream: IO[str], capacity: int = CAPACITY) -> None:
+    def __init__(
+        self, stream: IO[str], capacity: int = MAX_BUFFERED_LINES
+    ) -> None:
         super().__init__()
         self._stream = stream
         self._capacity = capacity
@@ -52,14 +54,14 @@
         is_routine = bool(getattr(record, decisions.ROUTINE_KEY, False))
         with self._ready:
             if len(self._lines) + len(self._routine) >= self._capacity:
-                self._drop(record, is_routine)
+                self._make_room(record, is_routine)
             elif is_routine:
                 self._routine.append(record)
             else:
                 self._lines.append(record)
             self._ready.notify()
 
-    def _drop(self, record: logging.LogRecord, is_routine: bool) -> None:
+    def _make_room(self, record: logging.LogRecord, is_routine: bool) -> None:
         """Makes room for a line that matters, or drops the newcomer."""
         loser = record
         if not is_routine and self._routine:
@@ -118,13 +120,13 @@
     def process_log_record(
         self, log_data: dict[str, object]
     ) -> dict[str, object]:
-        for name in _HIDDEN:
+        for name in _INTERNAL_FIELDS:
             log_data.pop(name, None)
         return super().process_log_record(log_data)
 
 
 def make_handler(
-    name: str, stream: IO[str], capacity: int = CAPACITY
+    name: str, stream: IO[str], capacity: int = MAX_BUFFERED_LINES
 ) -> BoundedHandler:
     """Returns a handler that writes JSON lines for a process."""
     handler = BoundedHandler(stream, capacity)
--- a/egretspur/membership/duty.py
+++ b/egretspur/membership/duty.py
@@ -230,7 +230,7 @@
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            with guard.surviving("duty"):
+            with guard.log_exceptions("duty"):
                 self.join()
             self._stop.wait(PERIOD_S)
 
--- a/egretspur/membership/exchange.py
+++ b/egretspur/membership/exchange.py
@@ -477,7 +477,7 @@
             self._is_hurried.wait(PERIOD_S - HURRIED_S)
             self._is_hurried.clear()
             turn += 1
-            with guard.surviving("news-out"):
+            with guard.log_exceptions("news-out"):
                 self._send_once(turn)
 
     def _send_once(self, turn: int) -> None:
@@ -514,7 +514,7 @@
             # Among many hosts others follow at once; waking up for each costs
             # more than reading it.
             time.sleep(GATHER_S)
-            with guard.surviving("news-in"):
+            with guard.log_exceptions("news-in"):
                 self._take([first, *self._read_waiting()])
 
     def _read_waiting(self) -> list[_Datagram]:
--- a/egretspur/orders/ranges.py
+++ b/egretspur/orders/ranges.py
@@ -128,7 +128,7 @@
 
     def _run(self) -> None:
         while not self._stop.wait(PERIOD_S):
-            with guard.surviving("ranges"):
+            with guard.log_exceptions("ranges"):
                 self.run_round()
 
     def run_round(self) -> None:
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -290,7 +290,7 @@
         In one line where they are many: two hundred hosts that start before
         two hundred upstreams would write forty thousand.
         """
-        if len(entries) > decisions.NAMED:
+        if len(entries) > decisions.MAX_NAMED:
             names = _name_some([e.id for e in entries])
             self.notes.append(decisions.UpstreamsListed(len(entries), names))
             return
@@ -613,4 +613,4 @@
 
 def _name_some(ids: Sequence[str]) -> tuple[str, ...]:
     """Returns as many ids as a log line names."""
-    return tuple(sorted(ids)[: decisions.NAMED])
+    return tuple(sorted(ids)[: decisions.MAX_NAMED])
--- a/egretspur/routing/probes.py
+++ b/egretspur/routing/probes.py
@@ -74,7 +74,7 @@
     def _run(self) -> None:
         while not self._stop.wait(PERIOD_S):
             self._desk.wait_busy(REST_S - PERIOD_S)
-            with guard.surviving("tick"):
+            with guard.log_exceptions("tick"):
                 due = self._desk.take_due()
                 for entry in due.probes:
                     self._pool.submit(self._ask, entry)
@@ -85,7 +85,7 @@
 
     def _ask(self, entry: upstreams.Upstream) -> None:
         report = None
-        with guard.surviving("probe"):
+        with guard.log_exceptions("probe"):
             report = self._probe(entry)
         # Told in any case, or it would never be asked again.
         self._desk.tell(desk.Probed(entry.id, report))
