--- a/egretspur/daemons/router.py
+++ b/egretspur/daemons/router.py
@@ -197,7 +197,7 @@
     def _make_relay(
         self, prompt: relay.Prompt, req: web.Request
     ) -> relay.Relay:
-        return relay.Relay(prompt, self._tools, req.is_caller_gone)
+        return relay.Relay(prompt, self._tools, req.is_disconnected)
 
     def _call_service(self, req: web.Request) -> web.Response:
         problem = self._check_request(req)
--- a/egretspur/delivery/completions.py
+++ b/egretspur/delivery/completions.py
@@ -65,7 +65,7 @@
             REQUEST_ID: request_id,
             PIPELINE: job.pipeline,
         }
-        body = EventBody(request_id, prompt, job, first, req.get_backlog)
+        body = EventBody(request_id, prompt, job, first, req.count_unsent)
         return web.Response(200, headers, body)
 
 
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -100,7 +100,7 @@
         )
         with self._lock:
             self.in_flight += 1
-        req.on_gone(run.leave)
+        req.on_disconnect(run.leave)
         try:
             res = run.begin()
         except BaseException:
@@ -223,7 +223,7 @@
         refusal: errors.Refusal | None = None
         try:
             refusal = self._run.run(write)
-        except web.CallerGone:
+        except web.CallerDisconnected:
             self._run.is_gone = True
             raise
         finally:
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -179,7 +179,7 @@
             assert self._write is not None
             try:
                 self._write(texts)
-            except (web.CallerGone, SlowCallerError) as exc:
+            except (web.CallerDisconnected, SlowCallerError) as exc:
                 self._caller_error = exc
                 return False
             self._report_progress(-1)
--- a/egretspur/web.py
+++ b/egretspur/web.py
@@ -60,7 +60,7 @@
         data: bytes = self.environ["wsgi.input"].read()
         return data
 
-    def get_backlog(self) -> int:
+    def count_unsent(self) -> int:
         """Returns the bytes written that the caller has not taken yet."""
         channel = self.environ.get(_CHANNEL)
         return int(channel.total_outbufs_len) if channel else 0
@@ -81,7 +81,7 @@
                 found[key.replace("_", "-").title()] = self.environ[key]
         return found
 
-    def on_gone(self, leave: Callable[[], None]) -> None:
+    def on_disconnect(self, callback: Callable[[], None]) -> None:
         """Has a function called once the caller closes the connection.
 
         It is called from the server's thread and must not wait; at once, if
@@ -90,11 +90,11 @@
         channel = self.environ.get(_CHANNEL)
         if channel is None:
             return
-        channel.leave = leave
+        channel.leave = callback
         if not channel.connected:
-            leave()
+            callback()
 
-    def is_caller_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Tells whether the caller has closed the connection."""
         check = self.environ.get("waitress.client_disconnected")
         return bool(check and check())
@@ -111,7 +111,7 @@
 
 
 # Raised by the write function of a pushed body.
-CallerGone = waitress.channel.ClientDisconnected
+CallerDisconnected = waitress.channel.ClientDisconnected
 
 
 @attrs.define
@@ -246,21 +246,21 @@
     task_class = _DrainingTask
 
     # Called when the caller closes while its request is being served.
-    leave: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
 
     def handle_read(self) -> None:
         """Reads, and tells whoever serves the request that it is moot."""
         super().handle_read()
         if not self.connected:
-            self._tell_gone()
+            self._notify_disconnect()
 
     def handle_close(self) -> None:
         """Closes, and tells whoever serves the request."""
         super().handle_close()
-        self._tell_gone()
+        self._notify_disconnect()
 
-    def _tell_gone(self) -> None:
-        leave, self.leave = self.leave, None
+    def _notify_disconnect(self) -> None:
+        leave, self.on_disconnect = self.on_disconnect, None
         if leave is not None:
             leave()
 
@@ -274,20 +274,22 @@
 
     def __init__(self, most: int) -> None:
         super().__init__()
-        self._most = most
-        self._growth = threading.Lock()
+        self._max_threads = most
+        self._growth_lock = threading.Lock()
 
     def add_task(self, task: Any) -> None:
         """Hands a task to a thread, after starting more if all are busy."""
         super().add_task(task)
-        with self._growth:
+        with self._growth_lock:
             have = len(self.threads)
-            if self.active_count + len(self.queue) >= have < self._most:
-                self.set_thread_count(min(self._most, have + _THREADS_STEP))
+            if self.active_count + len(self.queue) >= have < self._max_threads:
+                self.set_thread_count(
+                    min(self._max_threads, have + _THREADS_STEP)
+                )
 
 
 # A server that closes is waited for so long, in seconds.
-CLOSE_S: Final = 0.3
+CLOSE_TIMEOUT_S: Final = 0.3
 
 
 class Server:
@@ -384,7 +386,7 @@
         """
         self._server.task_dispatcher.shutdown(timeout=0)
         self._server.close()
-        self._thread.join(timeout=CLOSE_S)
+        self._thread.join(timeout=CLOSE_TIMEOUT_S)
 
     def _run(self) -> None:
         try:
@@ -448,19 +450,19 @@
     )
 
 
-def _match(want: list[str], have: list[str]) -> dict[str, str] | None:
+def _match(pattern: list[str], path_parts: list[str]) -> dict[str, str] | None:
     parts: dict[str, str] = {}
-    for i, part in enumerate(want):
+    for i, part in enumerate(pattern):
         if part.startswith("{") and part.endswith("*}"):
-            parts[part[1:-2]] = "/".join(have[i:])
+            parts[part[1:-2]] = "/".join(path_parts[i:])
             return parts
-        if i >= len(have):
+        if i >= len(path_parts):
             return None
         if part.startswith("{"):
-            parts[part[1:-1]] = urllib.parse.unquote(have[i])
-        elif part != have[i]:
+            parts[part[1:-1]] = urllib.parse.unquote(path_parts[i])
+        elif part != path_parts[i]:
             return None
-    return parts if len(want) == len(have) else None
+    return parts if len(pattern) == len(path_parts) else None
 
 
 _PHRASES: Final = {
--- a/tests/fakes/replica.py
+++ b/tests/fakes/replica.py
@@ -112,7 +112,7 @@
                 write(f"id: {number}\ndata: text {number}\n\n".encode())
                 sent += 1
                 time.sleep(faults["pause_s"])
-        except web.CallerGone:
+        except web.CallerDisconnected:
             self._replica.left += 1
             raise
 
