--- a/egretspur/decisions.py
+++ b/egretspur/decisions.py
@@ -1,7 +1,7 @@
-"""Everything a process decides or learns that on-call engineers may ask about.
+"""Log events of all decisions and state changes that on-call engineers need.
 
-One closed list: each class is one kind of log line, its attributes are the
-line's fields. Decision code makes them as values; `record` writes them through
+A closed list: each class is one kind of event, its attributes are the fields of
+the log line. Decision code creates them as values; `record` writes them through
 `logging`. `docs/OPERATIONS.md` describes each; `egretspur.cli.explain` reads
 them back. Read next: `egretspur.logs`.
 """
@@ -15,40 +15,41 @@
 
 import attrs
 
-# Every decision goes through it; the metrics listen to it.
+# Logger of all events; the metrics are counted by a handler on it.
 LOGGER: Final = logging.getLogger("egretspur.decisions")
 
-# Field of a log record that says whether the line is dropped first.
+# Field of a log record that tells whether it is dropped first.
 ROUTINE_KEY: Final = "is_routine"
 
-# Engines that one line names of each kind; a data centre may have a hundred.
+# Maximum number of engines of each kind in one line; a data centre may have a
+# hundred.
 MAX_NAMED: Final = 8
 
-# Field that names the kind of line.
+# Field with the kind of the event.
 EVENT_KEY: Final = "event"
 
 
 @attrs.frozen
 class RequestAdmitted:
-    """A caller's request was understood."""
+    """A caller's request was parsed and accepted."""
 
     request: str
     route: str
     service: str
     workspace: str
     priority: int
-    # Request memory it is expected to need on each layer, in tokens.
+    # Request memory that it is expected to need on each layer, in tokens.
     tokens: float
     deadline_s: float
-    # Version of the configuration it was judged by.
+    # Version of the configuration that was applied to it.
     version: int
-    # The same for the same request under another id.
+    # Equal for retries of the request under another id.
     fingerprint: str
 
 
 @attrs.frozen
 class RequestQueued:
-    """No path had room; the request waits."""
+    """No path had free capacity; the request waits."""
 
     request: str
     reason: str
@@ -58,27 +59,28 @@
 
 @attrs.frozen
 class PathMissing:
-    """Why no path was found for a request that waits or is refused."""
+    """No path was found for a request that waits or is refused."""
 
     request: str
-    # Layers that no engine holds which may be given work.
+    # Layers that no available engine holds.
     layers: str
-    # Engines that hold layers and have no room for the request; that refused
-    # of late, or asked for rest; that do not answer; that leave. At most
-    # `NAMED` of each.
+    # Engines that hold layers but lack free memory for the request; that
+    # refused requests recently or set a backoff; that do not answer; that are
+    # leaving. At most `MAX_NAMED` of each.
     full: tuple[str, ...]
     paused: tuple[str, ...]
     down: tuple[str, ...]
     leaving: tuple[str, ...]
-    # Engines with a limit of their own on requests.
+    # Engines that set a rate limit.
     limited: tuple[str, ...]
-    # Data centres whose hosts are not heard: cut off from this host, or down.
+    # Data centres from which no peer updates arrive: cut off from this host, or
+    # down.
     cut_off: tuple[str, ...]
 
 
 @attrs.frozen
 class RequestRefused:
-    """The request got its final answer without an upstream's."""
+    """The request got its final answer from this host, not from an upstream."""
 
     request: str
     kind: str
@@ -89,7 +91,7 @@
 
 @attrs.frozen
 class PathChosen:
-    """An attempt was given to an upstream, or to the stages of a path."""
+    """An attempt was assigned to an upstream, or to the stages of a path."""
 
     request: str
     attempt: int
@@ -98,17 +100,17 @@
     path: str
     # Expected seconds of one token step; 0 for a plain service.
     step_s: float
-    # Least request memory left on a stage, in parts of all it has.
+    # Smallest free fraction of request memory among the stages.
     free: float
     # Seconds since the list of upstreams was last read.
     list_age_s: float
-    # Hosts whose requests in flight were counted.
+    # Peers whose requests in flight were counted.
     peers: int
 
 
 @attrs.frozen
 class AttemptFailed:
-    """An attempt brought no answer, or its answer broke off."""
+    """An attempt got no answer, or its answer broke off."""
 
     request: str
     attempt: int
@@ -116,10 +118,10 @@
     reason: str
     # Upstreams known to be at fault.
     blamed: tuple[str, ...]
-    # Events the caller has.
+    # Events that the caller has received.
     events: int
-    # Events that this attempt brought; none where its upstream ended as it
-    # began to run the request.
+    # Events that this attempt produced; 0 if its upstream crashed when it
+    # started to run the request.
     brought: int
     # As in `RequestAdmitted`.
     fingerprint: str
@@ -127,12 +129,12 @@
 
 @attrs.frozen
 class RequestMoved:
-    """A running request was taken off stages that hold it up."""
+    """A running request was rerouted around stalled stages."""
 
     request: str
     stalled: tuple[str, ...]
     silent_s: float
-    # Why it could not be moved; empty if it was.
+    # Why it could not be rerouted; empty if it was.
     problem: str
     # Stages and layers of the new path.
     path: str
@@ -140,7 +142,7 @@
 
 @attrs.frozen
 class RequestAnswered:
-    """The caller has the whole answer."""
+    """The caller received the whole answer."""
 
     request: str
     status: int
@@ -155,7 +157,7 @@
 
 @attrs.frozen
 class RequestCut:
-    """The answer ended early; the caller has a part of it."""
+    """The answer ended early; the caller received a part of it."""
 
     request: str
     reason: str
@@ -165,7 +167,7 @@
 
 @attrs.frozen
 class RequestLeft:
-    """The caller closed before its answer was whole."""
+    """The caller closed the connection before its answer was complete."""
 
     request: str
     events: int
@@ -176,7 +178,7 @@
 
 @attrs.frozen
 class UpstreamChanged:
-    """What this host believes of an upstream changed."""
+    """The state of an upstream, as this host knows it, changed."""
 
     upstream: str
     # One of: listed, gone, draining, down, dead, back, refusing, backoff, slow,
@@ -187,18 +189,18 @@
 
 @attrs.frozen
 class UpstreamLimited:
-    """An upstream named how many requests it takes, or no longer does."""
+    """An upstream set, changed or lifted its rate limit."""
 
     upstream: str
-    # Requests a second from all hosts together; None if it names none now.
+    # Requests a second from all hosts together; None if it was lifted.
     per_s: float | None
-    # By its answer to this host; else another host told of it.
+    # Whether this host got it in an answer; otherwise a peer published it.
     is_own: bool
 
 
 @attrs.frozen
 class QuestionSent:
-    """An upstream was asked or ordered something beside callers' requests."""
+    """A query or order was sent to an upstream."""
 
     address: str
     # One of: report, peek, health, place, repath.
@@ -207,10 +209,10 @@
 
 @attrs.frozen
 class UpstreamsListed:
-    """Many upstreams came onto the list at once, as at the start."""
+    """Many upstreams were listed at once, as after the start."""
 
     count: int
-    # Some of them, at most `NAMED`.
+    # Some of them, at most `MAX_NAMED`.
     upstreams: tuple[str, ...]
 
 
@@ -225,34 +227,34 @@
 
 @attrs.frozen
 class DutyTaken:
-    """This host gives orders from now on."""
+    """This host became the duty holder, which gives orders."""
 
     generation: int
-    # True where the store is away and the hosts agree among themselves.
+    # True if the store is unreachable and the hosts elected it themselves.
     is_deputy: bool
 
 
 @attrs.frozen
 class DutyEnded:
-    """This host gives orders no more."""
+    """This host is no longer the duty holder."""
 
     reason: str
 
 
 @attrs.frozen
 class OrderGiven:
-    """An engine was told which layers to hold."""
+    """An engine was ordered to hold layers."""
 
     upstream: str
     first: int
     last: int
-    # Why it may not have been taken; empty if it was.
+    # Why the order may not have been accepted; empty if it was.
     problem: str
 
 
 @attrs.frozen
 class OrderDone:
-    """An engine says that it holds what it was told."""
+    """An engine reported that it holds the layers of its order."""
 
     upstream: str
     first: int
@@ -262,48 +264,49 @@
 
 @attrs.frozen
 class _RepeatWanted:
-    """A request that is to be sent once more, and its host's part."""
+    """A request that is to be retried, and its host's use of the budget."""
 
     request: str
     service: str
-    # Repeats of this host in the last window, and how many it may send: what
-    # it keeps to itself, and what it has borrowed.
+    # Retries of this host in the last window, and those that it may send: its
+    # guaranteed share, and what it has borrowed.
     sent: int
     part: float
     borrowed: float
-    # Hosts that share the budget, as far as this one knows.
+    # Hosts that share the budget, as far as this host knows.
     hosts: int
 
 
 @attrs.frozen
 class RepeatTaken(_RepeatWanted):
-    """A repeat was taken from the shared budget; it counts as sent."""
+    """A retry was taken from the shared budget; it counts as sent."""
 
 
 @attrs.frozen
 class BudgetEmpty(_RepeatWanted):
-    """A repeat was not sent because the shared budget allowed none."""
+    """A retry was not sent because the shared budget allowed none."""
 
 
 @attrs.frozen
 class QuarantineChanged:
-    """A request is sent to no upstream any more, or again."""
+    """A request was quarantined or released."""
 
     fingerprint: str
     is_held: bool
-    # Upstreams that ended under it, of any host.
+    # Upstreams that crashed under it, as seen by any host.
     ends: int
-    # This host saw one of the ends, or the answer that lets it go.
+    # Whether this host itself saw one of the crashes, or the answer that
+    # releases it.
     is_own: bool
 
 
 @attrs.frozen
 class QuarantineSaved:
-    """A change of the quarantine was written to the store, or not."""
+    """A change of the quarantine was written to the store, or failed to be."""
 
     fingerprint: str
     is_held: bool
-    # Why the store has not taken it; empty if it has.
+    # Why the write failed; empty if it succeeded.
     problem: str
 
 
@@ -325,26 +328,26 @@
 
 @attrs.frozen
 class StoreCopied:
-    """The store has come back from an older copy, and all was read anew."""
+    """The store was restored from an older copy; all topics were read again."""
 
     before: int
     era: int
     # Records read, by topic.
     read: dict[str, int]
-    # Keys by topic, no more than `NAMED` each: of which the copy has an older
-    # value, or none; and which it has though they were removed.
+    # Keys by topic, at most `MAX_NAMED` each: those whose value in the copy is
+    # older or missing; and those in the copy that had been removed.
     kept: dict[str, tuple[str, ...]]
     withheld: dict[str, tuple[str, ...]]
 
 
 @attrs.frozen
 class EntryLeftOut:
-    """A record of the store, or news of a host, was not what it should be.
+    """A record of the store, or a message of a host, was malformed.
 
     Logged once for each key and reason; counted each time that it changes.
     """
 
-    # Topic of the store, or what a host was asked or told.
+    # Topic of the store, or the kind of message.
     source: str
     # Key of the record, or address of the host.
     key: str
@@ -355,7 +358,7 @@
 
 @attrs.frozen
 class StepFailed:
-    """An actor or thread met an error that nobody thought of, and goes on."""
+    """An actor or thread caught an unexpected error and continues."""
 
     where: str
     reason: str
@@ -364,21 +367,21 @@
 
 @attrs.frozen
 class Started:
-    """The process serves."""
+    """The process has started to serve."""
 
     address: str
 
 
 @attrs.frozen
 class Reloaded:
-    """The settings were read again."""
+    """The settings were reloaded."""
 
     problem: str
 
 
 @attrs.frozen
 class Stopping:
-    """A stop signal came."""
+    """The process received a stop signal."""
 
     in_flight: int
 
@@ -425,8 +428,7 @@
     | Stopped
 )
 
-# Lines that come with every request or many; the first to go when there are too
-# many.
+# Events of every request, or of many; dropped first when the buffer is full.
 ROUTINE: Final = (
     RequestAdmitted,
     PathChosen,
@@ -438,12 +440,12 @@
 
 @functools.cache
 def make_event_name(class_name: str) -> str:
-    """Returns the name of a kind of line, such as ``request_queued``."""
+    """Returns the name of an event class, such as ``request_queued``."""
     return re.sub(r"(?<!^)(?=[A-Z])", "_", class_name).lower()
 
 
 def describe(decision: Decision) -> dict[str, Any]:
-    """Returns a line's fields, numbers rounded for reading."""
+    """Returns an event's fields, with numbers rounded for readability."""
     fields = {
         name: round(value, 4) if isinstance(value, float) else value
         for name, value in attrs.asdict(decision, recurse=False).items()
@@ -453,7 +455,7 @@
 
 
 def record(decision: Decision) -> None:
-    """Writes a line."""
+    """Logs an event."""
     fields = describe(decision)
     fields[ROUTINE_KEY] = isinstance(decision, ROUTINE)
     LOGGER.info(fields[EVENT_KEY].replace("_", " "), extra=fields)
--- a/egretspur/errors.py
+++ b/egretspur/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the answer each kind gives.
+"""The closed list of error kinds and the response for each kind.
 
-Every refusal in the product is a `Refusal` with one of these kinds, so that the
-HTTP status, the "not run" promise and the user's message are decided in one
-table. Decision code returns a `Refusal` instead of raising. Read next:
+Every refusal in the product is a `Refusal` with one of these kinds, so that one
+table defines the HTTP status, the "not run" promise and the user's message.
+Decision code returns a `Refusal` instead of raising. Read next:
 `egretspur.web`, which turns a refusal into an HTTP response.
 """
 
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Answer:
-    """What a caller or operator is told for one error kind."""
+    """Response to a caller or operator for one error kind."""
 
     # HTTP status code.
     status: int
@@ -65,7 +65,7 @@
         413, True, False, "The request exceeds a size limit; make it smaller."
     ),
     ErrorKind.NOT_FOUND: Answer(
-        404, True, False, "There is nothing by this name; check the name."
+        404, True, False, "No resource has this name; check the name."
     ),
     ErrorKind.UNKNOWN_MODEL: Answer(
         404,
@@ -74,7 +74,7 @@
         "No confirmed intent serves this model for this workspace.",
     ),
     ErrorKind.UNKNOWN_SERVICE: Answer(
-        404, True, False, "No service by this name is configured."
+        404, True, False, "No service with this name is configured."
     ),
     ErrorKind.UNKNOWN_KEY: Answer(
         401, True, False, "The key is missing or belongs to no workspace."
@@ -95,7 +95,7 @@
         503, True, True, "No complete chain of upstreams is available."
     ),
     ErrorKind.UPSTREAM_LIMITED: Answer(
-        503, True, True, "Upstreams take no more requests for now; try later."
+        503, True, True, "Upstreams accept no more requests for now; try later."
     ),
     ErrorKind.NOT_CONFIGURED: Answer(
         503, True, True, "This process has not read its configuration yet."
@@ -103,14 +103,14 @@
     ErrorKind.STOPPING: Answer(
         503, True, True, "This process is stopping; other hosts serve."
     ),
-    # Not a status that blames the caller: it may run beside one that is to
-    # blame, and then another host knows better, or will soon.
+    # A 503 instead of a client error: the request may only have run beside the
+    # one that crashed the upstreams, and other hosts may know that already.
     ErrorKind.QUARANTINED: Answer(
         503,
         True,
         False,
-        "Upstreams ended under this very request; it is sent to none until an"
-        " operator lets it go.",
+        "Upstreams crashed while running this request; it is not sent again"
+        " until an operator releases it.",
     ),
     ErrorKind.UPSTREAM_FAILED: Answer(
         502, False, True, "Upstreams failed after the request was sent."
@@ -132,7 +132,7 @@
         503,
         True,
         True,
-        "Calls that must not be repeated are refused while the log is out.",
+        "Calls that must not be repeated are refused while the log is down.",
     ),
     ErrorKind.LOG_UNAVAILABLE: Answer(
         503, False, True, "The platform's log service does not answer."
@@ -154,12 +154,12 @@
 
 @attrs.frozen
 class Refusal:
-    """Sentinel that a decision returns in place of a result."""
+    """Returned by decision code instead of a result."""
 
     kind: ErrorKind
-    # What happened, with the names and numbers at hand.
+    # What happened, with the relevant names and numbers.
     reason: str
-    # Seconds after which a new try makes sense; 0 if unknown.
+    # Seconds after which a retry makes sense; 0 if unknown.
     retry_after_s: float = 0.0
     # Id under which the outcome can be looked up; empty if there is none.
     ask_for: str = ""
--- a/egretspur/guard.py
+++ b/egretspur/guard.py
@@ -1,11 +1,11 @@
-"""Keeps actors and threads going when one of their steps fails.
+"""Keeps actors and threads running when one of their steps fails.
 
-Symptom without it: a host serves on and decides nothing more. A value that
-nobody thought of raises in the thread that reads the list, probes upstreams or
-owns the requests; the thread ends, and all it did is left undone for good.
+Without it, an unexpected value raises in the thread that reads the list of
+upstreams, probes them or owns the requests. The thread ends and its work is
+never done again: the host still accepts requests but decides nothing more.
 
-A step that fails is logged with its cause, counted, and left; the next one
-starts from what the actor or thread holds.
+A step that fails is logged with its cause and counted; the next step starts
+from the state that the actor or thread has.
 """
 
 from __future__ import annotations
@@ -20,28 +20,28 @@
 
 from egretspur import decisions
 
-# Frames of the failing step that are logged, innermost last.
+# Stack frames that are logged for a failed step, innermost last.
 MAX_FRAMES: Final = 4
 
 
 @attrs.define
 class Failure:
-    """What became of a step; empty while it has not failed."""
+    """Why a step failed; the reason is empty if it did not."""
 
     reason: str = ""
 
 
 @contextlib.contextmanager
 def log_exceptions(where: str) -> Iterator[Failure]:
-    """Logs an exception of the block and goes on after it.
+    """Logs an exception of the block and suppresses it.
 
     Args:
-        where: Actor or thread, for the log.
+        where: Name of the actor or thread, for the log.
     """
     failure = Failure()
     try:
         yield failure
-    except Exception as exc:  # whatever it is, the thread must go on
+    except Exception as exc:  # the thread must survive any error
         failure.reason = repr(exc)
         decisions.record(
             decisions.StepFailed(where, failure.reason, _describe_origin(exc))
@@ -49,7 +49,7 @@
 
 
 def _describe_origin(exc: Exception) -> str:
-    """Returns the innermost frames, such as ``fleet.py:120 get_usage``."""
+    """Returns the innermost frames, each as ``fleet.py:120 get_usage``."""
     frames = traceback.extract_tb(exc.__traceback__)[-MAX_FRAMES:]
     return " ".join(
         f"{pathlib.Path(f.filename).name}:{f.lineno} {f.name}" for f in frames
--- a/egretspur/logs.py
+++ b/egretspur/logs.py
@@ -1,9 +1,9 @@
-"""JSON-lines logging for all daemons, bounded and never blocking.
+"""JSON-lines logging for all daemons, bounded and non-blocking.
 
-A process that waits for whoever reads its log stands still with it. So lines
-go into a bounded buffer that one thread empties; when it is full, lines are
-dropped, the routine ones first, and how many is logged as soon as there is
-room again.
+If logging blocked, a process would stall whenever the reader of its output
+stalls. So lines go into a bounded buffer that one thread writes out. When it is
+full, lines are dropped, routine ones first, and their number is logged as soon
+as the buffer has space again.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 from egretspur import decisions
 
-# Lines in the buffer at most; at 200 bytes a line about 1 MB.
+# Capacity of the buffer; at 200 bytes a line about 1 MB.
 MAX_BUFFERED_LINES: Final = 5000
 
-# Fields that steer the handler and are not written.
+# Fields that control the handler and are not written.
 _INTERNAL_FIELDS: Final = (decisions.ROUTINE_KEY, "taskName")
 
 
 class BoundedHandler(logging.Handler):
-    """Buffers records and writes them in a thread of its own."""
+    """Buffers records and writes them in a separate thread."""
 
     def __init__(
         self, stream: IO[str], capacity: int = MAX_BUFFERED_LINES
@@ -50,7 +50,7 @@
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Puts a record into the buffer; drops one if it is full."""
+        """Adds a record to the buffer; drops one if it is full."""
         is_routine = bool(getattr(record, decisions.ROUTINE_KEY, False))
         with self._ready:
             if len(self._lines) + len(self._routine) >= self._capacity:
@@ -62,13 +62,13 @@
             self._ready.notify()
 
     def _make_room(self, record: logging.LogRecord, is_routine: bool) -> None:
-        """Makes room for a line that matters, or drops the newcomer."""
-        loser = record
+        """Drops a routine line in favour of another one, or the new line."""
+        dropped = record
         if not is_routine and self._routine:
-            loser = self._routine.popleft()
+            dropped = self._routine.popleft()
             self._lines.append(record)
         self.dropped += 1
-        self._dropped[getattr(loser, decisions.EVENT_KEY, "other")] += 1
+        self._dropped[getattr(dropped, decisions.EVENT_KEY, "other")] += 1
 
     def close(self) -> None:
         """Writes what is buffered, within a second, and stops."""
@@ -109,13 +109,13 @@
             self._stream.write("".join(f"{line}\n" for line in lines))
             self._stream.flush()
         except (OSError, ValueError):
-            # Nobody reads any more; serving goes on without a log.
+            # The reader is gone; the process continues without a log.
             with self._ready:
                 self.dropped += len(lines)
 
 
 class _Formatter(jsonlogger.JsonFormatter):
-    """Leaves out what only steers the handler."""
+    """Omits fields that only control the handler."""
 
     def process_log_record(
         self, log_data: dict[str, object]
@@ -141,7 +141,7 @@
 
 
 def start_logging(name: str, level: str) -> BoundedHandler:
-    """Sends all log records to standard output, one JSON object a line."""
+    """Writes all log records to standard output as JSON lines."""
     handler = make_handler(name, sys.stdout)
     root = logging.getLogger()
     root.handlers[:] = [handler]
