--- a/egretspur/web.py
+++ b/egretspur/web.py
@@ -1,6 +1,6 @@
-"""Small WSGI base of every daemon: paths, JSON, errors, drain.
+"""Minimal WSGI layer of every daemon: paths, JSON, errors, drain.
 
-Waitress speaks HTTP; this module only maps a method and a path to a handler
+Waitress implements HTTP; this module only maps a method and a path to a handler
 and a result to a response. Read next: `egretspur.errors` for the answer table.
 """
 
@@ -25,12 +25,12 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Keys of the connection and of the request's target as it was sent, which
-# WSGI itself has only decoded, in the WSGI environment.
+# Keys in the WSGI environment: of the connection, and of the request target as
+# it was sent, since WSGI itself only passes the decoded path.
 _CHANNEL: Final = "egretspur.channel"
 _TARGET: Final = "egretspur.target"
 
-# Threads that a growing server adds at a time.
+# Threads that a server with on-demand threads adds at a time.
 _THREADS_STEP: Final = 4
 
 JSON_TYPE: Final = "application/json"
@@ -61,12 +61,12 @@
         return data
 
     def count_unsent(self) -> int:
-        """Returns the bytes written that the caller has not taken yet."""
+        """Returns the bytes written that are not yet sent to the caller."""
         channel = self.environ.get(_CHANNEL)
         return int(channel.total_outbufs_len) if channel else 0
 
     def get_target(self) -> str:
-        """Returns path and query as the caller sent them."""
+        """Returns path and query without decoding."""
         return str(self.environ.get(_TARGET, self.path))
 
     def get_headers(self) -> dict[str, str]:
@@ -82,15 +82,15 @@
         return found
 
     def on_disconnect(self, callback: Callable[[], None]) -> None:
-        """Has a function called once the caller closes the connection.
+        """Registers a function to call when the caller closes the connection.
 
-        It is called from the server's thread and must not wait; at once, if
-        the caller is gone already.
+        It is called from the server's thread and must not block. If the
+        connection is closed already, it is called at once.
         """
         channel = self.environ.get(_CHANNEL)
         if channel is None:
             return
-        channel.leave = callback
+        channel.on_disconnect = callback
         if not channel.connected:
             callback()
 
@@ -101,12 +101,12 @@
 
 
 class PushedBody(Protocol):
-    """A body that writes itself, from whatever thread it likes."""
+    """A body that writes itself, from any thread."""
 
     def push(self, write: Callable[[bytes], Any]) -> None:
-        """Writes the body; returns when it is over.
+        """Writes the body; returns when it is complete.
 
-        `write` raises `CallerGone` once the caller has closed.
+        `write` raises `CallerDisconnected` once the caller has disconnected.
         """
 
 
@@ -132,7 +132,7 @@
 
 
 def reply_refusal(refusal: errors.Refusal) -> Response:
-    """Returns the response of the answer table for a refusal."""
+    """Returns the response for a refusal by the answer table."""
     answer = refusal.answer
     headers = {"Content-Type": JSON_TYPE}
     if refusal.retry_after_s > 0:
@@ -143,7 +143,7 @@
 
 
 def describe_refusal(refusal: errors.Refusal) -> dict[str, Any]:
-    """Returns the error object that callers and operators read."""
+    """Returns the error object of a response."""
     answer = refusal.answer
     return {
         "error": {
@@ -177,7 +177,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Any
     ) -> Iterable[bytes]:
-        """Serves one request, as WSGI asks."""
+        """Serves one request; called by the WSGI server."""
         req = _make_request(environ)
         res = self._handle(req)
         headers = list(res.headers.items())
@@ -223,11 +223,11 @@
 
 
 class _DrainingTask(waitress.task.WSGITask):  # type: ignore[misc]
-    """Tells keep-alive callers to close once the server drains."""
+    """Closes keep-alive connections once the server drains."""
 
     def build_response_header(self) -> Any:
-        # Without this a balancer keeps its connections to a process that is
-        # going away, and its next request on one meets a closed socket.
+        # Otherwise a load balancer keeps its connections to a process that is
+        # stopping, and its next request on one fails on a closed socket.
         if self.channel.server.adj.egretspur_draining.is_set():
             self.set_close_on_finish()
         return super().build_response_header()
@@ -245,31 +245,31 @@
 class _DrainingChannel(waitress.channel.HTTPChannel):  # type: ignore[misc]
     task_class = _DrainingTask
 
-    # Called when the caller closes while its request is being served.
+    # Called when the caller disconnects while its request is being served.
     on_disconnect: Callable[[], None] | None = None
 
     def handle_read(self) -> None:
-        """Reads, and tells whoever serves the request that it is moot."""
+        """Reads from the socket; notifies the handler of a disconnect."""
         super().handle_read()
         if not self.connected:
             self._notify_disconnect()
 
     def handle_close(self) -> None:
-        """Closes, and tells whoever serves the request."""
+        """Closes the socket and notifies the handler."""
         super().handle_close()
         self._notify_disconnect()
 
     def _notify_disconnect(self) -> None:
-        leave, self.on_disconnect = self.on_disconnect, None
-        if leave is not None:
-            leave()
+        callback, self.on_disconnect = self.on_disconnect, None
+        if callback is not None:
+            callback()
 
 
 class _GrowingDispatcher(waitress.task.ThreadedTaskDispatcher):  # type: ignore[misc]
-    """Starts threads as requests need them, up to a limit.
+    """Starts threads on demand, up to a limit.
 
-    Each stream keeps a thread for as long as it lasts. Threads for the worst
-    burst, started beforehand, would cost memory that is seldom used.
+    Each stream occupies a thread while it lasts. Starting enough threads for
+    the largest burst in advance would cost memory that is seldom used.
     """
 
     def __init__(self, most: int) -> None:
@@ -278,7 +278,7 @@
         self._growth_lock = threading.Lock()
 
     def add_task(self, task: Any) -> None:
-        """Hands a task to a thread, after starting more if all are busy."""
+        """Queues a task and starts more threads if all are busy."""
         super().add_task(task)
         with self._growth_lock:
             have = len(self.threads)
@@ -288,7 +288,7 @@
                 )
 
 
-# A server that closes is waited for so long, in seconds.
+# Longest wait for the server's thread on close.
 CLOSE_TIMEOUT_S: Final = 0.3
 
 
@@ -312,11 +312,11 @@
             app: Serves the requests.
             listen: IP address and port.
             threads: Requests served at once.
-            body_bytes: Longest body.
-            header_bytes: Longest header.
+            body_bytes: Maximum size of a body.
+            header_bytes: Maximum size of a header.
             idle_s: Seconds after which an idle connection is closed.
-            grows: Whether threads are started only as they are needed.
-            connections: Most open connections; 0 for a multiple of threads.
+            grows: Whether threads are started on demand.
+            connections: Maximum open connections; 0 for a multiple of threads.
         """
         host, _, port = listen.rpartition(":")
         dispatcher = None
@@ -340,9 +340,8 @@
             clear_untrusted_proxy_headers=False,
             backlog=1024,
             asyncore_use_poll=True,
-            # An answer that is cut ends with an error on purpose, and one
-            # that its caller leaves ends with one too; both are logged as
-            # decisions.
+            # Answers that are cut deliberately, or whose caller disconnects,
+            # end with a socket error; both are logged as decisions.
             log_socket_errors=False,
         )
         self._server.adj.egretspur_draining = self._draining
@@ -359,7 +358,7 @@
     def set_limits(
         self, header_bytes: int, body_bytes: int, idle_s: float
     ) -> None:
-        """Changes what callers may send; for requests that begin later."""
+        """Changes the limits of callers, for requests that begin later."""
         adj = self._server.adj
         adj.max_request_header_size = header_bytes
         adj.max_request_body_size = body_bytes
@@ -367,11 +366,11 @@
         adj.cleanup_interval = max(1, int(idle_s / 4))
 
     def drain(self) -> None:
-        """Tells callers, from now on, to close their connections."""
+        """Makes all further responses close their connections."""
         self._draining.set()
 
     def close_idle(self) -> None:
-        """Closes kept connections on which no request is under way."""
+        """Closes keep-alive connections without a request in progress."""
         for channel in list(self._server.active_channels.values()):
             if not channel.requests and channel.request is None:
                 channel.will_close = True
@@ -380,8 +379,8 @@
     def close(self) -> None:
         """Stops serving; open connections are closed.
 
-        What is still being answered is cut. Its threads end once their
-        connections are closed, so they are not waited for: a host that stops
+        Answers in progress are cut. Their threads end once their connections
+        are closed, so this does not wait for them: a host that is stopping
         would be killed before it has closed anything.
         """
         self._server.task_dispatcher.shutdown(timeout=0)
@@ -402,17 +401,17 @@
     dump_state: Callable[[], Any],
     is_ready: Callable[[], bool],
 ) -> None:
-    """Adds the pages every daemon has: metrics, state, ready, live.
+    """Adds the endpoints of every daemon: metrics, state, ready, live.
 
     Args:
-        app: Gets the pages.
-        collect: Returns the metrics as they are now.
+        app: Application to add them to.
+        collect: Returns the current metrics.
         dump_state: Returns the state as plain values.
-        is_ready: Tells whether new callers may be sent here.
+        is_ready: Tells whether this process accepts new callers.
     """
 
     def get_metrics(req: Request) -> Response:
-        # Imported when someone asks; see `egretspur.daemons.meters`.
+        # Imported on first use; see `egretspur.daemons.meters`.
         from aioprometheus import renderer
 
         body, headers = renderer.render(collect(), [])
