--- a/egretspur/hostview.py
+++ b/egretspur/hostview.py
@@ -1,7 +1,7 @@
-"""The platform's host list as one daemon knows it.
+"""One daemon's cached copy of the platform's host list.
 
-Shared by orders, planning and the routing table; it keeps what it last read
-while the platform does not answer.
+Shared by orders, planning and the routing table. While the platform does not
+answer, it keeps the hosts that it read last.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
         self._lock = threading.Lock()
         self._local: dict[str, hostlist.Host] = {}
         self._entry: dict[str, hostlist.Host] = {}
-        # Hosts of other data centres that some routing table needs.
+        # Hosts that a routing table needs, by name of their data centre.
         self._remote: dict[str, dict[str, hostlist.Host]] = {}
         self._versions: dict[str, int] = {}
         self.reachable = False
 
     def refresh(self, remote: frozenset[str] = frozenset()) -> bool:
-        """Reads what changed; tells whether anything did.
+        """Reads changes of the host list; returns whether there were any.
 
         Args:
             remote: Other data centres whose hosts are needed.
--- a/egretspur/mechanisms.py
+++ b/egretspur/mechanisms.py
@@ -1,8 +1,8 @@
-"""Which mechanisms of its decisions a host uses; all of them in operation.
+"""Switches for the mechanisms by which a host decides; all are on in operation.
 
-Each can be left out by ``egretspur-host --without NAME``, to measure what it is
-worth (`bench.ablation`). Nothing else sets them: what a host decides by depends
-on what it observes, never on where it runs.
+``egretspur-host --without NAME`` turns one off, to measure its benefit
+(`bench.ablation`). Nothing else sets them: a host's decisions depend on what it
+observes, never on where it runs.
 """
 
 from __future__ import annotations
@@ -16,19 +16,20 @@
 
 @attrs.frozen
 class Mechanisms:
-    """One switch a mechanism."""
+    """One switch for each mechanism."""
 
-    # Dead stages are found from streams that fall silent together; else by the
-    # report of a path's first engine.
+    # Detects failed stages from streams that fall silent together; if off, by
+    # the report of a path's first engine.
     silence: bool = True
-    # What can't go on within its data centres is resumed in another; else its
-    # tokens go there over the pipe.
+    # Resumes in another data centre an answer that can't continue within its
+    # own ones; if off, its tokens go there over the link between them.
     resuming: bool = True
-    # A path without engines too slow for prompt answers goes before a near one.
+    # Prefers a path without engines too slow for prompt answers to a path that
+    # is nearer.
     prompt_first: bool = True
-    # Layers of engines too slow for prompt answers are given to others.
+    # Moves layers from engines too slow for prompt answers to others.
     replacing_slow: bool = True
-    # Engines' own words on their memory correct what the hosts count.
+    # Corrects the hosts' count of used memory by the engines' own reports.
     excess: bool = True
 
 
@@ -38,16 +39,16 @@
 
 
 def make(without: Sequence[str]) -> Mechanisms:
-    """Returns all mechanisms but some."""
+    """Returns all mechanisms except the named ones."""
     return attrs.evolve(ALL, **dict.fromkeys(without, False))
 
 
 def add_argument(parser: argparse.ArgumentParser) -> None:
-    """Adds the option that leaves mechanisms out."""
+    """Adds the option that turns mechanisms off."""
     parser.add_argument(
         "--without",
         action="append",
         default=[],
         choices=NAMES,
-        help="leave a mechanism out, to measure its worth; may be repeated",
+        help="turn a mechanism off, to measure its benefit; may be repeated",
     )
--- a/egretspur/settings.py
+++ b/egretspur/settings.py
@@ -1,7 +1,7 @@
-"""Settings of every program: TOML files, checked in full before any start.
+"""Settings of every program: TOML files, validated completely at the start.
 
-All mistakes of a file are reported together, each with its key and what was
-expected, so that an operator corrects a file in one go. One options class per
+All mistakes of a file are reported together, each with its key and the expected
+value, so that an operator can correct them at once. One options class per
 program is passed down; there are no globals.
 """
 
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Mistake:
-    """One thing wrong in a settings file."""
+    """One mistake in a settings file."""
 
     file: str
     # Dotted key, for example ``timing.connect_s``.
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeSettings:
-    """Who this process is and where it listens."""
+    """Identity and listening address of this process."""
 
     # Unique name of the entry host.
     name: str
@@ -63,14 +63,14 @@
 
 @attrs.frozen(kw_only=True)
 class PlatformSettings:
-    """Where the platform's services are."""
+    """Addresses and bounds of the platform's services."""
 
     log: str = attrs.field(metadata=ADDRESS)
     hosts: str = attrs.field(metadata=ADDRESS)
     weights: str = attrs.field(metadata=ADDRESS)
     # Seconds after which a call to the platform counts as unanswered.
     timeout_s: float = attrs.field(default=2.0, metadata=at_least(0.05))
-    # Shortest time the log keeps a record, in seconds.
+    # Minimum seconds for which the log keeps a record.
     retention_s: float = attrs.field(default=86400.0, metadata=at_least(1))
 
 
@@ -83,7 +83,7 @@
     duration_s: float = attrs.field(default=12.0, metadata=at_least(0.2))
     # The holder stops this long before the lease ends.
     margin_s: float = attrs.field(default=1.0, metadata=at_least(0.02))
-    # Longest time an order can be under way.
+    # Longest time an order can be in transit.
     flight_s: float = attrs.field(default=1.0, metadata=at_least(0.02))
     # How long a retired holding stays loaded for requests in flight.
     drain_s: float = attrs.field(default=5.0, metadata=at_least(0))
@@ -92,9 +92,9 @@
     # Engines that load at the same time in a data centre, so that the weight
     # store's rate goes to the most urgent first.
     loads_at_once: int = attrs.field(default=8, metadata=at_least(1))
-    # Engines per second looked at though nothing is expected of them.
+    # Engines polled per second that have no orders in progress.
     audit_per_s: float = attrs.field(default=5.0, metadata=at_least(0.1))
-    # Seconds between two looks at engines with orders under way.
+    # Seconds between two polls of engines with orders in progress.
     period_s: float = attrs.field(default=0.5, metadata=at_least(0.02))
 
 
@@ -104,9 +104,9 @@
 
     # Seconds between two exchanges started by this host.
     period_s: float = attrs.field(default=2.0, metadata=at_least(0.05))
-    # Seconds without news after which a peer counts as gone.
+    # Seconds without updates after which a peer counts as gone.
     gone_after_s: float = attrs.field(default=20.0, metadata=at_least(0.2))
-    # Entries a message carries at most.
+    # Maximum number of entries in a message.
     entries: int = attrs.field(default=24, metadata=at_least(1))
     # Hosts per data centre that follow the log directly.
     followers: int = attrs.field(default=3, metadata=at_least(1))
@@ -126,17 +126,18 @@
 
 @attrs.frozen(kw_only=True)
 class LimitSettings:
-    """Bounds on what callers may send and how much is held."""
+    """Bounds on what callers may send and how many requests are held."""
 
     body_bytes: int = attrs.field(default=1_000_000, metadata=at_least(1))
     header_bytes: int = attrs.field(default=32_768, metadata=at_least(256))
     header_count: int = attrs.field(default=100, metadata=at_least(1))
     # Seconds a caller may take to send a request.
     send_s: float = attrs.field(default=30.0, metadata=at_least(0.1))
-    # Requests waiting for an upstream, all workspaces together.
+    # Requests that may wait for an upstream, all workspaces together.
     queue_length: int = attrs.field(default=512, metadata=at_least(0))
-    # Seconds a workspace must want more than an even share of its limit at
-    # this router before it gets what others leave; news of theirs comes first.
+    # Seconds for which a workspace must want more than an even share of its
+    # limit at this router before it gets unused shares of other routers, so
+    # that their demand is received first.
     settle_s: float = attrs.field(default=5.0, metadata=at_least(0))
     # Requests served at the same time; each takes a thread.
     streams: int = attrs.field(default=256, metadata=at_least(1))
@@ -155,7 +156,8 @@
     service_s: float = attrs.field(default=10.0, metadata=at_least(0.05))
     # A request that can't be started within this time is refused.
     deadline_s: float = attrs.field(default=10.0, metadata=at_least(0.05))
-    # How long the balancer may still send after this process is unready.
+    # How long a load balancer may still send requests after this process
+    # reports that it is not ready.
     linger_s: float = attrs.field(default=3.0, metadata=at_least(0))
     # Longest wait for requests in flight at shutdown.
     drain_s: float = attrs.field(default=300.0, metadata=at_least(0))
@@ -180,9 +182,10 @@
     name: str
     # ``METHOD /path`` prefixes, for example ``POST /orders``.
     never_repeat: tuple[str, ...] = ()
-    # Path to ask for the outcome of an id, with ``{id}``; empty: can't tell.
+    # Path to query for the outcome of an id, with ``{id}``; empty if the
+    # service has none.
     outcome_path: str = ""
-    # What to do with such calls while the log is out.
+    # Whether such calls are refused or run while the log is unavailable.
     log_outage: str = attrs.field(
         default="refuse", metadata=choice("refuse", "run")
     )
--- a/egretspur/signals.py
+++ b/egretspur/signals.py
@@ -1,6 +1,6 @@
-"""What upstreams ask of the hosts in the fields of their answers: pure.
+"""Rate limits, backoffs and leaving notices in upstreams' answers: pure.
 
-Both interfaces spell the values alike. Read next:
+Both interfaces use the same format for the values. Read next:
 `egretspur.admission.throttle`.
 """
 
@@ -12,11 +12,12 @@
 
 import attrs
 
-# A number without sign, exponent or name; a longer one is none either.
+# A decimal of up to 20 characters without sign or exponent; excludes names of
+# numbers such as ``inf``.
 _DECIMAL: Final = re.compile(r"(?=.{1,20}\Z)(\d+\.?\d*|\.\d+)\Z", re.ASCII)
 
 
-# Status of an answer that turns a request away for now.
+# Status of an answer that refuses a request temporarily.
 UNAVAILABLE: Final = 503
 
 # Standard header field, in seconds.
@@ -25,7 +26,7 @@
 
 @attrs.frozen
 class Unreadable:
-    """A value that is none; what was asked before holds."""
+    """A value that could not be parsed; the previous one still holds."""
 
     field: str
     problem: str
@@ -33,34 +34,34 @@
 
 @attrs.frozen
 class Signals:
-    """What an answer asks."""
+    """Signals of an upstream in one answer."""
 
-    # Requests a second that its upstream takes from all hosts together; None
-    # if it names none.
+    # Requests a second that it accepts from all hosts together; None if the
+    # answer sets no limit.
     per_s: float | None | Unreadable = None
-    # Seconds for which the upstream wants nothing from this host; None if it
-    # does not ask for it.
+    # Seconds for which this host is to send it nothing; None if the answer sets
+    # no backoff.
     backoff_s: float | None | Unreadable = None
-    # It leaves, and takes nothing new for long.
+    # Whether it is leaving and will not accept requests for long.
     is_leaving: bool = False
 
 
 NONE: Final = Signals()
 
-# Told what an answer asks, by the id or name of its upstream.
+# Called with the id or name of an upstream and the signals of its answer.
 NoteSignals = Callable[[str, Signals], None]
 
 
 def read(
     status: int, fields: Mapping[str, str], limit: str, leaving: str
 ) -> Signals:
-    """Returns what an answer asks of the hosts.
+    """Returns the signals of an answer.
 
     Args:
-        status: Of the answer.
-        fields: Its header fields, by names in any case.
-        limit: Name of the field that holds a limit.
-        leaving: Name of the field that tells that its upstream leaves.
+        status: Status of the answer.
+        fields: Header fields of the answer, with names in any case.
+        limit: Name of the field with the rate limit.
+        leaving: Name of the field with the leaving notice.
     """
     return Signals(
         parse_limit(fields.get(limit)),
@@ -70,10 +71,10 @@
 
 
 def parse_limit(text: str | None) -> float | None | Unreadable:
-    """Returns the requests a second that an answer names, None if none.
+    """Returns the rate limit in an answer, None if there is none.
 
     Args:
-        text: The field's value; several stand in one, with commas between.
+        text: The field's value; several values are separated by commas.
     """
     if text is None:
         return None
@@ -81,10 +82,10 @@
 
 
 def parse_backoff(status: int, text: str | None) -> float | None | Unreadable:
-    """Returns the seconds of rest that an answer asks for, None if none.
+    """Returns the backoff in an answer in seconds, None if there is none.
 
     Args:
-        status: Of the answer; only one that turns a request away asks for it.
+        status: Status of the answer; only a refusal sets a backoff.
         text: The field's value.
     """
     if status != UNAVAILABLE or text is None:
@@ -93,14 +94,14 @@
 
 
 def parse_leaving(text: str | None) -> bool:
-    """Returns whether an answer tells that its upstream leaves."""
+    """Tells whether an answer has a leaving notice."""
     return text is not None and "1" in map(str.strip, text.split(","))
 
 
 def _parse(
     text: str, field: str, choose: Callable[[list[float]], float]
 ) -> float | Unreadable:
-    """Returns the decimal in a field, of several the one that asks for more."""
+    """Returns the decimal in a field, of several the most restrictive one."""
     found = [float(v) for v in map(str.strip, text.split(",")) if _is_one(v)]
     if not found:
         return Unreadable(field, f"not a decimal: {text!r:.40}")
--- a/egretspur/transport.py
+++ b/egretspur/transport.py
@@ -1,9 +1,9 @@
-"""HTTP calls to other processes, with bounded silence.
+"""HTTP calls to other processes, with read timeouts.
 
-Thin over urllib3: a call gives the answer or a `Failed` that tells whether the
-other side can have received it. A connection that goes silent takes its whole
-pool with it, since whatever lost track of that one (a restarted middlebox, for
-example) has usually lost track of the others too.
+A thin layer over urllib3: a call returns the answer or a `Failed` that tells
+whether the other side can have received it. When a connection times out, its
+whole pool is closed, since whatever dropped that connection (a restarted
+middlebox, for example) has usually dropped the others too.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     reason: str
     # False only if the other side can't have received the call.
     maybe_sent: bool
-    # True if the connection was there but said nothing in time.
+    # True if the connection was open but nothing was received in time.
     is_silent: bool = False
 
 
@@ -122,9 +122,9 @@
         ) as exc:
             return Failed(f"{address}: {exc}", maybe_sent=False)
         except (exceptions.HTTPError, OSError) as exc:
-            # Bytes were on their way when the connection broke or fell
-            # silent. The other side may be at work on them, so this can't be
-            # told to a caller as "not run".
+            # The connection broke or timed out after bytes were sent. The other
+            # side may be processing them, so a caller can't be promised that
+            # the request was not run.
             is_silent = isinstance(exc, exceptions.ReadTimeoutError)
             if is_silent:
                 self.empty_pool(address)
@@ -138,8 +138,8 @@
     def empty_pool(self, address: str) -> None:
         """Closes the idle connections to an address.
 
-        Symptom without it: after a middlebox forgets its connections, each
-        pooled one costs another timeout before a new one is opened.
+        After a middlebox has dropped its connections, each pooled one would
+        otherwise cost another timeout before a new one is opened.
         """
         with self._lock:
             pool = self._pools.pop(address, None)
