--- a/egretspur/admission/fingerprint.py
+++ b/egretspur/admission/fingerprint.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 # Bytes of a fingerprint. Hosts exchange some dozens of them; among a million
-# requests the probability of a collision is one in thirty million.
+# requests two collide with a probability of one in thirty million.
 _BYTES: Final = 8
 
 _LENGTH_BYTES: Final = 8
--- a/egretspur/logs.py
+++ b/egretspur/logs.py
@@ -63,12 +63,12 @@
 
     def _make_room(self, record: logging.LogRecord, is_routine: bool) -> None:
         """Drops a routine line in favour of another one, or the new line."""
-        dropped = record
+        evicted = record
         if not is_routine and self._routine:
-            dropped = self._routine.popleft()
+            evicted = self._routine.popleft()
             self._lines.append(record)
         self.dropped += 1
-        self._dropped[getattr(dropped, decisions.EVENT_KEY, "other")] += 1
+        self._dropped[getattr(evicted, decisions.EVENT_KEY, "other")] += 1
 
     def close(self) -> None:
         """Writes what is buffered, within a second, and stops."""
