--- a/tests/admission/admission.feature
+++ b/tests/admission/admission.feature
@@ -1,16 +1,16 @@
-Feature: Admission is fair, honest and within limits
+Feature: Fair queueing, early refusals and limits
 
   Scenario: A small workspace is not starved by a large one
     Given a queue with 20 requests of "large" and then 2 of "small"
     When 4 requests are started
     Then both of "small" are among them
 
-  Scenario: Higher priority goes first, low ones still go
+  Scenario: Higher priority goes first without starving lower ones
     Given a queue with 30 requests of priority 9 and then 1 of priority 1
     When 10 requests are started
     Then 9 of priority 9 and 1 of priority 1 are among them
 
-  Scenario: A full queue gives way to higher priority, at once
+  Scenario: A full queue evicts a request for one of higher priority
     Given a full queue of 3 requests of priority 1
     When a request of priority 5 is offered
     Then it is queued and one of priority 1 gives way
@@ -18,27 +18,27 @@
     Then it is refused as "queue_full"
 
   Scenario: A large workspace does not keep a small one out of the queue
-    # Symptom: at three times the load a small workspace was served as badly
-    # as the large one (0.36 of its requests, with room for all). Cause: a
-    # queue filled by the large one refuses whoever comes.
+    # Failure: at three times the load only 0.36 of a small workspace's requests
+    # were served, as of the large one's, although there was capacity for all of
+    # them. Cause: a queue filled by the large workspace refuses all others.
     Given a full queue of 5 requests of "large" and one of "small"
     When a request of "small" is offered
     Then it is queued and the newest of "large" gives way
 
-  Scenario: Waiting requests that others got ahead of are told at once
-    # Symptom: refusals took as long as the deadline (p95 3.0 s). Cause: a
-    # request was looked at on arrival and then only at its deadline.
+  Scenario: Waiting requests that others got ahead of are refused at once
+    # Failure: refusals took as long as the deadline (p95 3.0 s). Cause: a
+    # request was checked on arrival and then only at its deadline.
     Given 9 requests of "a" wait, 2 s between two ends
     Then those that can't start by their deadline are told at once
 
   Scenario: A request that can't be started in time is refused on arrival
-    # Symptom: callers wait for a refusal. Cause: finding out at the deadline.
+    # Failure: callers wait until their deadline for a refusal.
     Given a queue that starts 2 requests a second and holds 10
     When a request with a deadline in 3 s is offered
     Then it is refused as "deadline" with a time to come back
 
   Scenario Outline: A limit is divided by demand
-    # Symptom: a workspace gets several times its limit, or a part of it.
+    # Failure: a workspace gets several times its limit, or only a part of it.
     Given a limit of <limit> and <listed> routers listed
     When the demand is "<demand>" and news are <news>
     Then the shares are "<shares>"
--- a/tests/admission/fuzz.feature
+++ b/tests/admission/fuzz.feature
@@ -1,10 +1,10 @@
 @fuzz
-Feature: Requests that end upstreams, as several hosts know them
+Feature: Quarantine of requests that crash upstreams, on several hosts
 
-  Scenario: Hosts hold what ended enough, and nothing that was answered
-    # Symptom: a request that ends engines is sent again by a host that heard
-    # late, or one that runs beside it is refused for good. Sequence: lost
-    # datagrams, connections that break while upstreams live, answers between
-    # ends. Cause: ends counted twice, or for a request that was answered.
+  Scenario: Hosts quarantine what crashed enough upstreams, unless answered
+    # Failure: a request that crashes engines is sent again by a host that got
+    # the updates late, or one that runs beside it is refused permanently.
+    # Sequence: lost datagrams, broken connections to live upstreams, answers
+    # between crashes. Cause: crashes counted twice, or after an answer.
     When the quarantine machine runs 200 histories of 40 steps
     Then the oracle found nothing
--- a/tests/admission/shared.feature
+++ b/tests/admission/shared.feature
@@ -1,42 +1,42 @@
 Feature: The retry budget that all hosts share
 
-  Scenario: A few hosts need what the others leave
-    # Symptom: seven engines of two hundred die, and a tenth of the answers
-    # that ran over them are given up, though nine tenths of the budget are
-    # left. Cause: each host had an even part of it, four or five repeats.
+  Scenario: A few hosts use retries that the others leave
+    # Failure: seven of two hundred engines fail, and a tenth of the answers
+    # that used them are lost, although nine tenths of the budget are unused.
+    # Cause: each host had an even share of it, four or five retries.
     Given 195 hosts in 5 data centres that had 14 requests each in 10 s
-    When 8 of them need 40 repeats each within 3 s
+    When 8 of them need 40 retries each within 3 s
     Then each of the 8 gets 20 or more
     And all hosts together keep to the budget
 
-  Scenario: All need repeats in the same moment
+  Scenario: All hosts need retries at the same time
     Given 195 hosts in 5 data centres that had 14 requests each in 10 s
-    When all of them need 40 repeats each within 3 s
+    When all of them need 40 retries each within 3 s
     Then each of all gets 4 or more at once
     And all hosts together keep to the budget
 
-  Scenario: A data centre is lost, and its requests come to the others
+  Scenario: A data centre is lost, and its requests reach the others
     Given 195 hosts in 5 data centres that had 14 requests each in 10 s
-    When the 39 of one data centre need 40 repeats each within 3 s
+    When the 39 of one data centre need 40 retries each within 3 s
     Then each of the 39 gets 8 or more
     And all hosts together keep to the budget
 
-  Scenario: A host that hears nobody
-    # It may have its own part and no more: the others are alive, perhaps.
+  Scenario: A host without peer updates
+    # It gets its guaranteed share only, since the others may be alive.
     Given 195 hosts in 5 data centres that had 14 requests each in 10 s
-    And one of them has not been heard and heard nobody for 2 s
-    When the lone host needs 40 repeats within 3 s
-    Then it gets 4 repeats
+    And one of them has sent and received no peer updates for 2 s
+    When the lone host needs 40 retries within 3 s
+    Then it gets 4 retries
 
-  Scenario: A speaker that changes
-    # Symptom: for two seconds a data centre looks as if it had twice as many
-    # requests in flight, and work goes elsewhere. Cause: what the former
-    # speaker said was counted beside the newer one's word of the same requests.
-    Given a host that heard 10 requests of another data centre from its speaker
-    When another speaker tells of the same 10
+  Scenario: Another host reports for a data centre
+    # Failure: for two seconds a data centre seems to have twice its requests in
+    # flight, and requests are sent elsewhere. Cause: the update of the former
+    # speaker is counted in addition to the new one's, for the same requests.
+    Given a host to which a speaker reported 10 requests of another data centre
+    When another speaker reports the same 10
     Then it counts 10 requests there
 
   @fuzz
-  Scenario: Any hosts, any failures, any news that is lost
-    When hosts ask for repeats as chance has it, hear late or not, and are cut off
+  Scenario: Random hosts, failures and lost updates
+    When hosts ask for retries at random, with late updates, and are cut off
     Then none of the histories spends more than the budget
--- a/tests/admission/starts.feature
+++ b/tests/admission/starts.feature
@@ -1,24 +1,23 @@
-Feature: The retry budget beside hosts that start again
-  # Seen: a service was sent more repeats in ten seconds than all hosts together
-  # may send, on an installation of 61 hosts in three data centres.
-  # How it came about: hosts were killed, or lost power, while upstreams failed.
-  # Cause: what a host had spent was known to its process alone. Started again, it
-  # had its whole part once more, and in its first second, before it had heard the
-  # others, it took itself for the only one.
-  # Proof: each repeat logged with the host's part and the hosts it counts, in a
-  # played day of 8 hosts: 378 repeats in ten seconds, 311 allowed; a count of 1 and
-  # a part of 119 in place of 16 right after each start.
+Feature: The retry budget when hosts restart
+  # Failure: on 61 hosts in three data centres, a service got more retries in ten
+  # seconds than all hosts together may send, after hosts were killed or lost
+  # power while upstreams failed.
+  # Cause: only a host's process knew what it had spent. After a restart the host
+  # had its whole share again, and in its first second, before any peer update, it
+  # counted itself as the only host. A simulated day of 8 hosts had 378 retries in
+  # ten seconds, 311 allowed: right after a start a host counted 1 host and a share
+  # of 119 instead of 16.
 
-  Scenario: All hosts start again while upstreams fail
+  Scenario: All hosts restart while upstreams fail
     Given 61 hosts in 3 data centres, and upstreams that fail
-    When all hosts start again at 16 s, 20 s and 24 s
-    Then no window has more repeats than all hosts together may send
+    When all hosts restart at 16 s, 20 s and 24 s
+    Then no window has more retries than all hosts together may send
 
-  Scenario Outline: Hosts start again while upstreams fail
+  Scenario Outline: Hosts restart while upstreams fail
     Given 15 hosts in 3 data centres, and upstreams that fail
-    When <hosts> start again at <when>
-    Then no window has more repeats than all hosts together may send
-    And in the worst one there are half of them or more
+    When <hosts> restart at <when>
+    Then no window has more retries than all hosts together may send
+    And the worst window has at least half of them
 
     Examples:
       | hosts                         | when                 |
@@ -33,16 +32,16 @@
       | all hosts in turn             | 14 s, 20 s and 26 s  |
       | the first host of each        | 14 s, 16 s and 18 s  |
 
-  Scenario: Data centres that don't hear each other share the budget
+  Scenario: Data centres that are cut off from each other share the budget
     Given 15 hosts in 3 data centres, and upstreams that fail
     When all data centres are cut off from 10 s to 60 s
-    Then no window has more repeats than all hosts together may send
+    Then no window has more retries than all hosts together may send
 
-  Scenario Outline: Hosts that don't know how many share the budget
+  Scenario Outline: Hosts that don't know how many hosts share the budget
     Given 15 hosts in 3 data centres, and upstreams that fail
     When <who> cut off from <from> s to <to> s
-    And <hosts> start again at <when>
-    Then no window has more repeats than all hosts together may send
+    And <hosts> restart at <when>
+    Then no window has more retries than all hosts together may send
 
     Examples:
       | who                   | from | to | hosts             | when        |
@@ -54,10 +53,10 @@
       | a third of all are    | 10   | 60 | all hosts         | 16 s        |
       | a third of all are    | 10   | 20 | all hosts         | 13 s        |
 
-  Scenario Outline: Hosts that come and go
+  Scenario Outline: Hosts are added, removed or moved
     Given 15 hosts in 3 data centres, and upstreams that fail
     When <change> at <when>
-    Then no window has more repeats than all hosts together may send
+    Then no window has more retries than all hosts together may send
 
     Examples:
       | change                           | when |
@@ -66,6 +65,6 @@
       | a third of the hosts are moved   | 16 s |
 
   @fuzz
-  Scenario: Any starts, cuts and lost news
-    When hosts start again, are cut off and lose news as chance has it
-    Then no window of any history has more repeats than may be sent
+  Scenario: Random restarts, partitions and lost updates
+    When hosts restart, are cut off and lose updates at random
+    Then no window of any history has more retries than may be sent
--- a/tests/guard.feature
+++ b/tests/guard.feature
@@ -1,30 +1,30 @@
-Feature: An error that nobody thought of leaves a host serving
+Feature: A host keeps serving after an unexpected error
 
   Scenario: A message that a host's actor can't handle
-    # Symptom: a host answers no request any more, though its process runs.
-    # Cause: an exception ends an actor whose message nobody waits for.
+    # Failure: a host answers no more requests although its process runs.
+    # Cause: an exception from a message without a waiting sender ends the actor.
     Given a host's desk whose broker fails on the next answer
     When an answer comes, and then a request
     Then the request is started
     And the failed step is logged with its cause
 
-  Scenario: A request that can't be decided on
-    # Symptom: a caller waits until its deadline for a decision that failed.
+  Scenario: A request whose decision fails at a host
+    # Failure: a caller waits until its deadline for a decision that failed.
     Given a host's desk whose broker fails on the next arrival
     When a request comes, and then another
-    Then the first one gets its final answer at once, which promises nothing
+    Then the first one gets its final answer at once, without a "not run" promise
     And the second one is started
 
-  Scenario: A request that a router can't decide on
+  Scenario: A request whose decision fails at a router
     Given a router's traffic whose dispatcher fails on the next arrival
     When a request comes to the router
-    Then the first one gets its final answer at once, which promises nothing
+    Then the first one gets its final answer at once, without a "not run" promise
 
   Scenario: A feed whose sink fails
-    # Symptom: a host never hears of the list again. Sequence: one value makes
-    # the thread raise that hands changes on; it ends.
+    # Failure: a host gets no more changes of the list. Cause: one value raises an
+    # exception that ends the thread which passes changes on.
     Given a feed whose sink fails once, in the middle of changes
-    When it runs until the sink was given a whole
+    When it runs until the sink has received a snapshot
     Then the failed step is logged with its cause
 
   Scenario Outline: A thread whose step fails
--- a/tests/settings.feature
+++ b/tests/settings.feature
@@ -1,8 +1,8 @@
-Feature: Settings are checked in full before anything starts
+Feature: Settings are validated completely at the start
 
-  Scenario: Three mistakes are all named
-    # Symptom: an operator corrects one key, restarts, and meets the next.
-    # Cause: a check that stops at the first mistake.
+  Scenario: All mistakes are reported together
+    # Failure: an operator corrects one key, restarts and gets the next error.
+    # Cause: the check stops at the first mistake.
     Given a router settings file with
       """
       control = "10.0.0.1:7070"
@@ -19,7 +19,7 @@
     Then it exits with code 2
     And it names the keys "node.listen, node.colour, timing.connect_s"
 
-  Scenario Outline: One mistake is named with what was expected
+  Scenario Outline: A mistake is reported with the expected value
     Given a router settings file with
       """
       <line>
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -161,7 +161,9 @@
     assert isinstance(context.decision, jobs.Start), context.decision
 
 
-@then("the first one gets its final answer at once, which promises nothing")
+@then(
+    'the first one gets its final answer at once, without a "not run" promise'
+)
 def step_final(context: Any) -> None:
     assert isinstance(context.first, errors.Refusal), context.first
     assert not context.first.answer.not_run
@@ -212,7 +214,7 @@
     )
 
 
-@when("it runs until the sink was given a whole")
+@when("it runs until the sink has received a snapshot")
 def step_feed_runs(context: Any) -> None:
     context.feed.start()
     try:
--- a/tests/steps/logs_steps.py
+++ b/tests/steps/logs_steps.py
@@ -101,7 +101,7 @@
         return super().write(text)
 
 
-@given("a log that holds {count:d} lines and whose writer is held up")
+@given("a log that holds {count:d} lines and whose writer is blocked")
 def step_held(context: Any, count: int) -> None:
     context.stream = HeldStream()
     context.play = Log(logs.make_handler("t", context.stream, count))
@@ -123,7 +123,7 @@
             context.play.log(make_decision(cls))
 
 
-@when("the writer goes on")
+@when("the writer resumes")
 def step_goes_on(context: Any) -> None:
     context.stream.free.set()
     context.play.handler.close()
--- a/tests/steps/shared_steps.py
+++ b/tests/steps/shared_steps.py
@@ -138,7 +138,7 @@
         context.sharers.tell(context.rng, 0.0)
 
 
-@given("one of them has not been heard and heard nobody for 2 s")
+@given("one of them has sent and received no peer updates for 2 s")
 def step_lone(context: Any) -> None:
     context.sharers.hosts[0].is_cut_off = True
     for _ in range(8):
@@ -146,18 +146,18 @@
         context.sharers.tell(context.rng, 0.0)
 
 
-@when("{count:d} of them need {wanted:d} repeats each within 3 s")
+@when("{count:d} of them need {wanted:d} retries each within 3 s")
 def step_few(context: Any, count: int, wanted: int) -> None:
     ask(context, context.sharers.hosts[:count], wanted)
 
 
-@when("all of them need {wanted:d} repeats each within 3 s")
+@when("all of them need {wanted:d} retries each within 3 s")
 def step_all(context: Any, wanted: int) -> None:
     ask(context, context.sharers.hosts, wanted)
 
 
 @when(
-    "the {count:d} of one data centre need {wanted:d} repeats each within 3 s"
+    "the {count:d} of one data centre need {wanted:d} retries each within 3 s"
 )
 def step_place(context: Any, count: int, wanted: int) -> None:
     found = [h for h in context.sharers.hosts if h.place == "dc-1"]
@@ -165,7 +165,7 @@
     ask(context, found, wanted)
 
 
-@when("the lone host needs {wanted:d} repeats within 3 s")
+@when("the lone host needs {wanted:d} retries within 3 s")
 def step_lone_asks(context: Any, wanted: int) -> None:
     ask(context, context.sharers.hosts[:1], wanted)
 
@@ -196,7 +196,7 @@
     assert min(context.at_once) >= count, min(context.at_once)
 
 
-@then("it gets {count:d} repeats")
+@then("it gets {count:d} retries")
 def step_gets(context: Any, count: int) -> None:
     assert [len(h.repeats) for h in context.asking] == [count]
 
@@ -208,15 +208,15 @@
 
 
 @given(
-    "a host that heard {count:d} requests of another data centre from its"
-    " speaker"
+    "a host to which a speaker reported {count:d} requests of another data"
+    " centre"
 )
 def step_speaker(context: Any, count: int) -> None:
     context.memory = memory.Memory("kl-hall")
     hear(context, "10.2.0.1", count, 10.0)
 
 
-@when("another speaker tells of the same {count:d}")
+@when("another speaker reports the same {count:d}")
 def step_speaker_changes(context: Any, count: int) -> None:
     hear(context, "10.2.0.2", count, 10.3)
 
@@ -233,9 +233,7 @@
     assert found == jobs.Usage(count, 900.0 * count), found
 
 
-@when(
-    "hosts ask for repeats as chance has it, hear late or not, and are cut off"
-)
+@when("hosts ask for retries at random, with late updates, and are cut off")
 def step_fuzz(context: Any) -> None:
     context.worst = []
     for seed in range(40 if fuzz.IS_LONG else 8):
--- a/tests/steps/starts_steps.py
+++ b/tests/steps/starts_steps.py
@@ -79,7 +79,7 @@
     context.starts = Play(fleet)
 
 
-@when("{hosts} start again at {when}")
+@when("{hosts} restart at {when}")
 def step_start_again(context: Any, hosts: str, when: str) -> None:
     play = context.starts
     fleet = play.fleet
@@ -169,24 +169,24 @@
     context.starts.plan(at, move)
 
 
-@then("no window has more repeats than all hosts together may send")
+@then("no window has more retries than all hosts together may send")
 def step_kept(context: Any) -> None:
     context.starts.run()
     context.worst = context.starts.fleet.find_worst()
     assert context.worst[0] <= 1.0, context.worst
 
 
-@then("in the worst one there are half of them or more")
+@then("the worst window has at least half of them")
 def step_used(context: Any) -> None:
     assert context.worst[0] >= 0.5, context.worst
 
 
-@when("hosts start again, are cut off and lose news as chance has it")
+@when("hosts restart, are cut off and lose updates at random")
 def step_fuzz(context: Any) -> None:
     context.machine = starts.SharingMachine
 
 
-@then("no window of any history has more repeats than may be sent")
+@then("no window of any history has more retries than may be sent")
 def step_histories(context: Any) -> None:
     hypothesis.stateful.run_state_machine_as_test(
         context.machine,
