--- a/tests/admission/sharing.py
+++ b/tests/admission/sharing.py
@@ -26,7 +26,7 @@
 RATIO: Final = 0.2
 
 # Between two news of a host; the hosts of one moment hear each other in turn.
-NEWS_S: Final = exchange.PERIOD_S
+UPDATE_INTERVAL_S: Final = exchange.PERIOD_S
 
 
 @attrs.define(eq=False)
@@ -34,12 +34,12 @@
     """One host: what it knows is gone when it starts again."""
 
     ip: str
-    place: str
+    data_centre: str
     repeats: repeats.RetryBudgets
     peers: exchange.Peers
     # News that it has sent since its start, and whether it has had any.
-    turn: int = 0
-    has_heard: bool = False
+    update_count: int = 0
+    has_received: bool = False
     # It is alone: it hears nobody, and nobody hears it.
     is_cut_off: bool = False
 
@@ -59,66 +59,70 @@
         """
         self.now_s = 0.0
         self.rng = rng
-        self.lost = 0.0
+        self.loss_rate = 0.0
         # A host that starts has heard nobody.
         self.options = repeats.Options(RATIO, allowance, WINDOW_S, math.inf)
-        self.sent: list[float] = []
-        self.repeated: list[float] = []
+        self.request_times: list[float] = []
+        self.retry_times: list[float] = []
         # Data centres that hear no other.
-        self.apart: set[str] = set()
+        self.partitioned: set[str] = set()
         self.hosts: list[Host] = []
-        self._places = [f"dc-{d}" for d in range(len(sizes))]
+        self._data_centres = [f"dc-{d}" for d in range(len(sizes))]
         # As in the settings: one host of each data centre.
         self._seeds = [f"10.{d}.0.1" for d in range(len(sizes))]
         for d, size in enumerate(sizes):
             for i in range(size):
-                self.add(f"10.{d}.0.{i + 1}", self._places[d])
+                self.add(f"10.{d}.0.{i + 1}", self._data_centres[d])
 
-    def add(self, ip: str, place: str) -> Host:
+    def add(self, ip: str, data_centre: str) -> Host:
         """Adds a host, which has just started."""
-        host = Host(ip, place, *self._make_state(ip, place))
+        host = Host(ip, data_centre, *self._make_state(ip, data_centre))
         self.hosts.append(host)
         return host
 
-    def start_again(self, hosts: Iterable[Host]) -> None:
+    def restart(self, hosts: Iterable[Host]) -> None:
         """Starts hosts again: they know nothing of before."""
         for host in hosts:
-            host.repeats, host.peers = self._make_state(host.ip, host.place)
-            host.turn = 0
-            host.has_heard = False
+            host.repeats, host.peers = self._make_state(
+                host.ip, host.data_centre
+            )
+            host.update_count = 0
+            host.has_received = False
 
     def _make_state(
-        self, ip: str, place: str
+        self, ip: str, data_centre: str
     ) -> tuple[repeats.RetryBudgets, exchange.Peers]:
         return (
-            repeats.RetryBudgets(place, self.options, self.rng),
-            exchange.Peers(ip, place, self._seeds, self.rng, self._places),
+            repeats.RetryBudgets(data_centre, self.options, self.rng),
+            exchange.Peers(
+                ip, data_centre, self._seeds, self.rng, self._data_centres
+            ),
         )
 
-    def request(self, host: Host) -> None:
+    def send_request(self, host: Host) -> None:
         """Has a host send a request."""
         host.repeats.earn(SERVICE, self.now_s)
-        self.sent.append(self.now_s)
+        self.request_times.append(self.now_s)
 
-    def repeat(self, host: Host, most: int) -> None:
+    def send_retries(self, host: Host, max_count: int) -> None:
         """Has a host repeat as much as it may."""
-        for _ in range(most):
+        for _ in range(max_count):
             if not host.repeats.spend(SERVICE, self.now_s):
                 return
-            self.repeated.append(self.now_s)
+            self.retry_times.append(self.now_s)
 
-    def tell(self) -> None:
+    def send_updates(self) -> None:
         """Has each host send its news once, in a random order."""
         for host in self.rng.sample(self.hosts, len(self.hosts)):
-            self._tell(host)
+            self._send_update(host)
         for host in self.hosts:
             sharing = host.peers.count_sharing()
-            if host.has_heard:
+            if host.has_received:
                 host.repeats.hosts = max(sharing, len(self._seeds))
 
-    def _tell(self, host: Host) -> None:
-        host.turn += 1
-        names = host.turn % exchange.PEERS_EVERY == 0
+    def _send_update(self, host: Host) -> None:
+        host.update_count += 1
+        names = host.update_count % exchange.PEERS_EVERY == 0
         named = host.peers.list_places(self.now_s) if names else {}
         is_speaker = host.peers.is_speaker(self.now_s)
         far = host.peers.list_far(self.now_s)
@@ -137,12 +141,12 @@
     ) -> None:
         news = self._make_news(sender, spent, named)
         for host in self._find_reached(sender, to):
-            self._take(host, news)
-            is_far = host.place != sender.place
+            self._receive(host, news)
+            is_far = host.data_centre != sender.data_centre
             if is_far and host.peers.is_speaker(self.now_s):
                 near = host.peers.list_near(self.now_s)
                 for other in self._find_reached(host, near):
-                    self._take(other, news)
+                    self._receive(other, news)
 
     def _find_reached(self, sender: Host, to: Collection[str]) -> list[Host]:
         """Returns the hosts that a datagram reaches."""
@@ -158,7 +162,7 @@
         known = reading.Known(1, 1, 0.0)
         return datagrams.News(
             sender.ip,
-            sender.place,
+            sender.data_centre,
             0.0,
             known,
             {},
@@ -173,25 +177,26 @@
     def _reaches(self, sender: Host, host: Host) -> bool:
         if sender is host or sender.is_cut_off or host.is_cut_off:
             return False
-        if sender.place != host.place and {sender.place, host.place} & (
-            self.apart
-        ):
+        if sender.data_centre != host.data_centre and {
+            sender.data_centre,
+            host.data_centre,
+        } & (self.partitioned):
             return False
-        return self.rng.random() >= self.lost
+        return self.rng.random() >= self.loss_rate
 
-    def _take(self, host: Host, news: datagrams.News) -> None:
-        host.has_heard = True
+    def _receive(self, host: Host, news: datagrams.News) -> None:
+        host.has_received = True
         host.peers.note(news, self.now_s)
         host.repeats.apply_peer_update(
             news.host, news.data_centre, news.spent, self.now_s, news.is_new
         )
 
-    def find_worst(self) -> tuple[float, int, float]:
+    def find_worst_window(self) -> tuple[float, int, float]:
         """Returns the worst window: part of what was allowed, sent, allowed."""
         worst = (0.0, 0, 0.0)
-        for i, start_s in enumerate(self.repeated):
+        for i, start_s in enumerate(self.retry_times):
             end_s = start_s + WINDOW_S
-            sent = bisect.bisect_left(self.repeated, end_s) - i
+            sent = bisect.bisect_left(self.retry_times, end_s) - i
             allowed = self._get_allowed(start_s)
             worst = max(worst, (sent / allowed, sent, allowed))
         return worst
@@ -199,8 +204,8 @@
     def _get_allowed(self, start_s: float) -> float:
         """Returns the repeats allowed in the window that begins then."""
         counts = [
-            bisect.bisect_left(self.sent, at_s + WINDOW_S)
-            - bisect.bisect_left(self.sent, at_s)
+            bisect.bisect_left(self.request_times, at_s + WINDOW_S)
+            - bisect.bisect_left(self.request_times, at_s)
             for at_s in (start_s, start_s - WINDOW_S / 2, start_s - WINDOW_S)
         ]
         return self.options.allowance + RATIO * max(counts)
--- a/tests/admission/starts.py
+++ b/tests/admission/starts.py
@@ -30,16 +30,16 @@
     def __init__(self) -> None:
         super().__init__()
         self.fleet = sharing.Fleet(SIZES, ALLOWANCE, random.Random(5))
-        self.pass_time(int(LEAD_S / sharing.NEWS_S), 0)
+        self.pass_time(int(LEAD_S / sharing.UPDATE_INTERVAL_S), 0)
 
     def pass_time(self, rounds: int, requests: int) -> None:
         """Has news go round, and each host send requests in each round."""
         for _ in range(rounds):
-            self.fleet.tell()
+            self.fleet.send_updates()
             for host in self.fleet.hosts:
                 for _ in range(requests):
-                    self.fleet.request(host)
-            self.fleet.now_s += sharing.NEWS_S
+                    self.fleet.send_request(host)
+            self.fleet.now_s += sharing.UPDATE_INTERVAL_S
 
     @stateful.rule(rounds=st.integers(1, 16), requests=st.integers(0, 2))
     def work(self, rounds: int, requests: int) -> None:
@@ -55,23 +55,23 @@
         """Some hosts repeat what they may for a while."""
         for _ in range(rounds):
             for i in sorted(hosts):
-                self.fleet.repeat(self.fleet.hosts[i], wanted)
+                self.fleet.send_retries(self.fleet.hosts[i], wanted)
             self.pass_time(1, 1)
 
     @stateful.rule(hosts=st.sets(HOST, min_size=1))
     def start_again(self, hosts: set[int]) -> None:
         """Some hosts start again."""
-        self.fleet.start_again(self.fleet.hosts[i] for i in sorted(hosts))
+        self.fleet.restart(self.fleet.hosts[i] for i in sorted(hosts))
 
     @stateful.rule()
     def start_all(self) -> None:
         """All hosts start again in the same moment."""
-        self.fleet.start_again(self.fleet.hosts)
+        self.fleet.restart(self.fleet.hosts)
 
     @stateful.rule(places=st.sets(st.sampled_from(["dc-0", "dc-1", "dc-2"])))
     def cut(self, places: set[str]) -> None:
         """Data centres are cut off, and others heal."""
-        self.fleet.apart = places
+        self.fleet.partitioned = places
 
     @stateful.rule(host=HOST, is_cut_off=st.booleans())
     def cut_host(self, host: int, is_cut_off: bool) -> None:
@@ -81,9 +81,9 @@
     @stateful.rule(lost=st.sampled_from([0.0, 0.05, 0.4]))
     def lose(self, lost: float) -> None:
         """News get lost."""
-        self.fleet.lost = lost
+        self.fleet.loss_rate = lost
 
     def teardown(self) -> None:
         """Checks all windows of the history."""
-        worst = self.fleet.find_worst()
+        worst = self.fleet.find_worst_window()
         assert worst[0] <= 1.0, worst
--- a/tests/steps/starts_steps.py
+++ b/tests/steps/starts_steps.py
@@ -54,20 +54,20 @@
                 if at_s <= fleet.now_s:
                     act()
                     self.due.remove((at_s, act))
-            fleet.tell()
+            fleet.send_updates()
             if fleet.now_s >= 0:
                 self._serve()
-            fleet.now_s += sharing.NEWS_S
+            fleet.now_s += sharing.UPDATE_INTERVAL_S
 
     def _serve(self) -> None:
         fleet = self.fleet
         for host in fleet.rng.sample(fleet.hosts, len(fleet.hosts)):
-            expected = RATE * sharing.NEWS_S
+            expected = RATE * sharing.UPDATE_INTERVAL_S
             count = int(expected) + (fleet.rng.random() < expected % 1)
             for _ in range(count):
-                fleet.request(host)
+                fleet.send_request(host)
             if fleet.now_s >= FAILING_S:
-                fleet.repeat(host, WANTED)
+                fleet.send_retries(host, WANTED)
 
 
 @given("{count:d} hosts in 3 data centres, and upstreams that fail")
@@ -75,7 +75,7 @@
     rng = random.Random(11)
     sizes = (count // 3 - 1, count // 3, count - 2 * (count // 3) + 1)
     fleet = sharing.Fleet(sizes, ALLOWANCE * count, rng)
-    fleet.lost = 0.02
+    fleet.loss_rate = 0.02
     context.starts = Play(fleet)
 
 
@@ -95,7 +95,7 @@
     fleet: sharing.Fleet, hosts: Sequence[sharing.Host]
 ) -> Callable[[], None]:
     """Returns an act by which hosts start again."""
-    return lambda: fleet.start_again(hosts)
+    return lambda: fleet.restart(hosts)
 
 
 def pick(fleet: sharing.Fleet, hosts: str) -> list[sharing.Host]:
@@ -105,7 +105,7 @@
         "the hosts of two data centres": {"dc-0", "dc-1"},
     }
     if hosts in places:
-        return [h for h in fleet.hosts if h.place in places[hosts]]
+        return [h for h in fleet.hosts if h.data_centre in places[hosts]]
     named = {
         "no hosts": [],
         "all hosts": fleet.hosts,
@@ -145,7 +145,7 @@
 def add_third(fleet: sharing.Fleet) -> None:
     """Adds a third as many hosts to each data centre."""
     for host in fleet.hosts[::3]:
-        fleet.add(host.ip.replace(".0.", ".1."), host.place)
+        fleet.add(host.ip.replace(".0.", ".1."), host.data_centre)
 
 
 @when("a third of the hosts are removed at {at:d} s")
@@ -172,7 +172,7 @@
 @then("no window has more retries than all hosts together may send")
 def step_kept(context: Any) -> None:
     context.starts.run()
-    context.worst = context.starts.fleet.find_worst()
+    context.worst = context.starts.fleet.find_worst_window()
     assert context.worst[0] <= 1.0, context.worst
 
 
