--- a/tests/admission/starts.py
+++ b/tests/admission/starts.py
@@ -19,7 +19,7 @@
 ALLOWANCE: Final = 45.0
 
 # Hosts are up so long before a history begins.
-LEAD_S: Final = 16.0
+WARMUP_S: Final = 16.0
 
 HOST = st.integers(0, HOSTS - 1)
 
@@ -30,9 +30,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.fleet = sharing.Fleet(SIZES, ALLOWANCE, random.Random(5))
-        self.pass_time(int(LEAD_S / sharing.UPDATE_INTERVAL_S), 0)
+        self.advance(int(WARMUP_S / sharing.UPDATE_INTERVAL_S), 0)
 
-    def pass_time(self, rounds: int, requests: int) -> None:
+    def advance(self, rounds: int, requests: int) -> None:
         """Has news go round, and each host send requests in each round."""
         for _ in range(rounds):
             self.fleet.send_updates()
@@ -44,44 +44,46 @@
     @stateful.rule(rounds=st.integers(1, 16), requests=st.integers(0, 2))
     def work(self, rounds: int, requests: int) -> None:
         """Requests come and none fails."""
-        self.pass_time(rounds, requests)
+        self.advance(rounds, requests)
 
     @stateful.rule(
         hosts=st.sets(HOST, min_size=1),
         rounds=st.integers(1, 8),
         wanted=st.sampled_from([1, 5, 40]),
     )
-    def fail(self, hosts: set[int], rounds: int, wanted: int) -> None:
+    def send_retries(
+        self, hosts: set[int], rounds: int, max_retries: int
+    ) -> None:
         """Some hosts repeat what they may for a while."""
         for _ in range(rounds):
             for i in sorted(hosts):
-                self.fleet.send_retries(self.fleet.hosts[i], wanted)
-            self.pass_time(1, 1)
+                self.fleet.send_retries(self.fleet.hosts[i], max_retries)
+            self.advance(1, 1)
 
     @stateful.rule(hosts=st.sets(HOST, min_size=1))
-    def start_again(self, hosts: set[int]) -> None:
+    def restart(self, hosts: set[int]) -> None:
         """Some hosts start again."""
         self.fleet.restart(self.fleet.hosts[i] for i in sorted(hosts))
 
     @stateful.rule()
-    def start_all(self) -> None:
+    def restart_all(self) -> None:
         """All hosts start again in the same moment."""
         self.fleet.restart(self.fleet.hosts)
 
     @stateful.rule(places=st.sets(st.sampled_from(["dc-0", "dc-1", "dc-2"])))
-    def cut(self, places: set[str]) -> None:
+    def partition(self, data_centres: set[str]) -> None:
         """Data centres are cut off, and others heal."""
-        self.fleet.partitioned = places
+        self.fleet.partitioned = data_centres
 
     @stateful.rule(host=HOST, is_cut_off=st.booleans())
-    def cut_host(self, host: int, is_cut_off: bool) -> None:
+    def isolate_host(self, host: int, is_cut_off: bool) -> None:
         """A host is cut off from all others, or hears them again."""
         self.fleet.hosts[host].is_cut_off = is_cut_off
 
     @stateful.rule(lost=st.sampled_from([0.0, 0.05, 0.4]))
-    def lose(self, lost: float) -> None:
+    def set_loss_rate(self, loss_rate: float) -> None:
         """News get lost."""
-        self.fleet.loss_rate = lost
+        self.fleet.loss_rate = loss_rate
 
     def teardown(self) -> None:
         """Checks all windows of the history."""
