--- a/tests/admission/sharing.py
+++ b/tests/admission/sharing.py
@@ -1,9 +1,9 @@
 """Hosts that share a retry budget: a model without network, and its oracle.
 
-Each host has the product's own `Repeats` and `Peers`; news go between them as
-`egretspur.membership.exchange` sends them. Hosts start again, data centres are
-cut off, news are late or lost. The oracle knows the requests and repeats of
-all hosts, and nothing else: in no window may there be more repeats than are
+Each host has the product's `RetryBudgets` and `Peers`; peer updates are passed
+between them as `egretspur.membership.exchange` sends them. Hosts restart, data
+centres are cut off, updates are late or lost. The oracle knows only the
+requests and retries of all hosts: no window may have more retries than are
 allowed for the requests in it, in the one before, or half a window before.
 """
 
@@ -25,50 +25,51 @@
 WINDOW_S: Final = 10.0
 RATIO: Final = 0.2
 
-# Between two news of a host; the hosts of one moment hear each other in turn.
+# Interval between two updates of a host. The updates of one round are sent and
+# received one after the other.
 UPDATE_INTERVAL_S: Final = exchange.PERIOD_S
 
 
 @attrs.define(eq=False)
 class Host:
-    """One host: what it knows is gone when it starts again."""
+    """One host, whose state is lost when it restarts."""
 
     ip: str
     data_centre: str
     repeats: repeats.RetryBudgets
     peers: exchange.Peers
-    # News that it has sent since its start, and whether it has had any.
+    # Updates sent since its start, and whether it has received any.
     update_count: int = 0
     has_received: bool = False
-    # It is alone: it hears nobody, and nobody hears it.
+    # Whether it neither sends nor receives updates.
     is_cut_off: bool = False
 
 
 class Fleet:
-    """All hosts, and the requests and repeats that they sent."""
+    """All hosts, and the requests and retries that they sent."""
 
     def __init__(
         self, sizes: Collection[int], allowance: float, rng: random.Random
     ) -> None:
-        """Starts hosts, of each data centre so many.
+        """Starts the hosts.
 
         Args:
-            sizes: Hosts of each data centre.
-            allowance: Repeats in a window beside those of requests.
-            rng: Draws which news are lost.
+            sizes: Number of hosts of each data centre.
+            allowance: Retries in a window in addition to those of requests.
+            rng: Draws which updates are lost.
         """
         self.now_s = 0.0
         self.rng = rng
         self.loss_rate = 0.0
-        # A host that starts has heard nobody.
+        # A host that starts has not received any peer update.
         self.options = repeats.Options(RATIO, allowance, WINDOW_S, math.inf)
         self.request_times: list[float] = []
         self.retry_times: list[float] = []
-        # Data centres that hear no other.
+        # Data centres that are cut off from all others.
         self.partitioned: set[str] = set()
         self.hosts: list[Host] = []
         self._data_centres = [f"dc-{d}" for d in range(len(sizes))]
-        # As in the settings: one host of each data centre.
+        # One host of each data centre, as in the settings.
         self._seeds = [f"10.{d}.0.1" for d in range(len(sizes))]
         for d, size in enumerate(sizes):
             for i in range(size):
@@ -81,7 +82,7 @@
         return host
 
     def restart(self, hosts: Iterable[Host]) -> None:
-        """Starts hosts again: they know nothing of before."""
+        """Restarts hosts, which lose their state."""
         for host in hosts:
             host.repeats, host.peers = self._make_state(
                 host.ip, host.data_centre
@@ -105,14 +106,14 @@
         self.request_times.append(self.now_s)
 
     def send_retries(self, host: Host, max_count: int) -> None:
-        """Has a host repeat as much as it may."""
+        """Has a host send all retries that it may, up to a maximum."""
         for _ in range(max_count):
             if not host.repeats.spend(SERVICE, self.now_s):
                 return
             self.retry_times.append(self.now_s)
 
     def send_updates(self) -> None:
-        """Has each host send its news once, in a random order."""
+        """Has each host send its update once, in random order."""
         for host in self.rng.sample(self.hosts, len(self.hosts)):
             self._send_update(host)
         for host in self.hosts:
@@ -192,7 +193,7 @@
         )
 
     def find_worst_window(self) -> tuple[float, int, float]:
-        """Returns the worst window: part of what was allowed, sent, allowed."""
+        """Returns the worst window: fraction of allowed, sent, allowed."""
         worst = (0.0, 0, 0.0)
         for i, start_s in enumerate(self.retry_times):
             end_s = start_s + WINDOW_S
@@ -202,7 +203,7 @@
         return worst
 
     def _get_allowed(self, start_s: float) -> float:
-        """Returns the repeats allowed in the window that begins then."""
+        """Returns the retries allowed in the window that begins then."""
         counts = [
             bisect.bisect_left(self.request_times, at_s + WINDOW_S)
             - bisect.bisect_left(self.request_times, at_s)
--- a/tests/steps/starts_steps.py
+++ b/tests/steps/starts_steps.py
@@ -133,8 +133,8 @@
         play.plan(end, lambda: set_lone(False))
         return
     apart = {"one data centre is": {"dc-1"}}.get(who, {"dc-0", "dc-1", "dc-2"})
-    play.plan(begin, lambda: fleet.apart.update(apart))
-    play.plan(end, fleet.apart.clear)
+    play.plan(begin, lambda: fleet.partitioned.update(apart))
+    play.plan(end, fleet.partitioned.clear)
 
 
 @when("a third as many hosts are added at {at:d} s")
