--- a/egretspur/errors.py
+++ b/egretspur/errors.py
@@ -65,7 +65,7 @@
         413, True, False, "The request exceeds a size limit; make it smaller."
     ),
     ErrorKind.NOT_FOUND: Answer(
-        404, True, False, "No resource has this name; check the name."
+        404, True, False, "There is nothing by this name; check the name."
     ),
     ErrorKind.UNKNOWN_MODEL: Answer(
         404,
--- a/tests/steps/shared_steps.py
+++ b/tests/steps/shared_steps.py
@@ -203,7 +203,7 @@
 
 @then("all hosts together keep to the budget")
 def step_kept(context: Any) -> None:
-    worst = context.sharers.find_worst_window()
+    worst = context.sharers.find_worst()
     assert worst <= 1.0, worst
 
 
