--- a/egretspur/claims/calls.py
+++ b/egretspur/claims/calls.py
@@ -109,7 +109,7 @@
             if not isinstance(res, transport.Failed):
                 self._note(upstream, res)
                 return Answered(res, upstream.name)
-            if not res.is_silent or last is not None:
+            if not res.is_timeout or last is not None:
                 self._note(upstream, res)
             last = res
         if last is None and closed:
--- a/egretspur/clients/engine.py
+++ b/egretspur/clients/engine.py
@@ -170,7 +170,7 @@
         connect_s: float,
         first_event_s: float,
         between_events_s: float,
-        note_signals: signals.NoteSignals = lambda upstream, answer: None,
+        note_signals: signals.SignalsCallback = lambda upstream, answer: None,
     ) -> None:
         self._note_signals = note_signals
         self._first_s = first_event_s
@@ -217,7 +217,7 @@
         )
         if isinstance(res, transport.Failed):
             return Broken(
-                res.reason, res.maybe_sent, upstream_failed=not res.is_silent
+                res.reason, res.maybe_sent, upstream_failed=not res.is_timeout
             )
         answer = fields.read(res.status, res.headers)
         self._note_signals(call.route[-1].upstream, answer)
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -233,7 +233,7 @@
                 "cut off from the platform's log; serving by the last"
                 " configuration"
             )
-        if not self._hosts.reachable:
+        if not self._hosts.is_reachable:
             parts.append("the platform's host list does not answer")
         if missing:
             parts.append("no news from: " + ", ".join(missing))
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -152,7 +152,7 @@
             self._make_app(),
             cfg.listen,
             THREADS,
-            grows=True,
+            starts_on_demand=True,
             connections=CONNECTIONS,
         )
         self._ready_server = web.Server(
--- a/egretspur/hostview.py
+++ b/egretspur/hostview.py
@@ -24,7 +24,7 @@
         # Hosts that a routing table needs, by name of their data centre.
         self._remote: dict[str, dict[str, hostlist.Host]] = {}
         self._versions: dict[str, int] = {}
-        self.reachable = False
+        self.is_reachable = False
 
     def refresh(self, remote: frozenset[str] = frozenset()) -> bool:
         """Reads changes of the host list; returns whether there were any.
@@ -61,9 +61,9 @@
         since = self._versions.get(part, 0)
         res = self._client.read(data_centre, role, since)
         if isinstance(res, errors.Refusal):
-            self.reachable = False
+            self.is_reachable = False
             return False
-        self.reachable = True
+        self.is_reachable = True
         if res.version == since:
             return False
         with self._lock:
--- a/egretspur/orders/actor.py
+++ b/egretspur/orders/actor.py
@@ -307,7 +307,7 @@
             if now - since > self._opts.dead_after_s
         ]
         listed = self._hosts.get_local()
-        if self._hosts.reachable:
+        if self._hosts.is_reachable:
             dead += [n for n in self._seen_hosts if n not in listed]
         if not dead:
             return
--- a/egretspur/platform/upstream.py
+++ b/egretspur/platform/upstream.py
@@ -54,7 +54,9 @@
     def __init__(
         self,
         silence_s: float,
-        note_signals: signals.NoteSignals = lambda upstream_id, answer: None,
+        note_signals: signals.SignalsCallback = lambda upstream_id, answer: (
+            None
+        ),
     ) -> None:
         """Makes a client.
 
@@ -340,7 +342,7 @@
         """
         _record_question(address, "health")
         res = self._transport.call("GET", address, health_path)
-        return not isinstance(res, transport.Failed) or res.is_silent
+        return not isinstance(res, transport.Failed) or res.is_timeout
 
     def place(
         self, address: str, layers: upstreams.Layers, expected: int
--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -352,7 +352,7 @@
 
     def note_signals(self, upstream: str, answer: signals.Signals) -> None:
         """Takes what an answer asks of the hosts; most ask nothing."""
-        if answer != signals.NONE or self._throttle.limited:
+        if answer != signals.NO_SIGNALS or self._throttle.limited:
             self._ref.tell(NoteSignals(upstream, answer))
 
     def take_turn(self, upstream: str) -> bool:
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -391,7 +391,10 @@
 
     def note_signals(self, upstream_id: str, answer: signals.Signals) -> None:
         """Takes what an answer asks of the hosts; most ask nothing."""
-        if answer == signals.NONE and upstream_id not in self._throttle.limited:
+        if (
+            answer == signals.NO_SIGNALS
+            and upstream_id not in self._throttle.limited
+        ):
             return
         self._ref.tell(NoteSignals(upstream_id, answer))
 
--- a/egretspur/signals.py
+++ b/egretspur/signals.py
@@ -46,10 +46,10 @@
     is_leaving: bool = False
 
 
-NONE: Final = Signals()
+NO_SIGNALS: Final = Signals()
 
 # Called with the id or name of an upstream and the signals of its answer.
-NoteSignals = Callable[[str, Signals], None]
+SignalsCallback = Callable[[str, Signals], None]
 
 
 def read(
--- a/egretspur/transport.py
+++ b/egretspur/transport.py
@@ -47,7 +47,7 @@
     # False only if the other side can't have received the call.
     maybe_sent: bool
     # True if the connection was open but nothing was received in time.
-    is_silent: bool = False
+    is_timeout: bool = False
 
 
 class Transport:
--- a/egretspur/web.py
+++ b/egretspur/web.py
@@ -265,16 +265,16 @@
             callback()
 
 
-class _GrowingDispatcher(waitress.task.ThreadedTaskDispatcher):  # type: ignore[misc]
+class _OnDemandDispatcher(waitress.task.ThreadedTaskDispatcher):  # type: ignore[misc]
     """Starts threads on demand, up to a limit.
 
     Each stream occupies a thread while it lasts. Starting enough threads for
     the largest burst in advance would cost memory that is seldom used.
     """
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_threads: int) -> None:
         super().__init__()
-        self._max_threads = most
+        self._max_threads = max_threads
         self._growth_lock = threading.Lock()
 
     def add_task(self, task: Any) -> None:
@@ -303,7 +303,7 @@
         body_bytes: int = 10_000_000,
         header_bytes: int = 65_536,
         idle_s: float = 120.0,
-        grows: bool = False,
+        starts_on_demand: bool = False,
         connections: int = 0,
     ) -> None:
         """Binds the address.
@@ -315,13 +315,13 @@
             body_bytes: Maximum size of a body.
             header_bytes: Maximum size of a header.
             idle_s: Seconds after which an idle connection is closed.
-            grows: Whether threads are started on demand.
+            starts_on_demand: Whether threads are started on demand.
             connections: Maximum open connections; 0 for a multiple of threads.
         """
         host, _, port = listen.rpartition(":")
         dispatcher = None
-        if grows:
-            dispatcher = _GrowingDispatcher(threads)
+        if starts_on_demand:
+            dispatcher = _OnDemandDispatcher(threads)
             dispatcher.set_thread_count(min(threads, _THREADS_STEP))
         self._draining = threading.Event()
         self._server = waitress.server.create_server(
--- a/tests/steps/upstream_steps.py
+++ b/tests/steps/upstream_steps.py
@@ -170,7 +170,7 @@
         assert isinstance(answer.backoff_s, signals.Unreadable), answer
         return
     wanted = {
-        "nothing": signals.NONE,
+        "nothing": signals.NO_SIGNALS,
         "leaving": signals.Signals(is_leaving=True),
     }.get(what) or signals.Signals(backoff_s=float(what.removeprefix("rest ")))
     assert answer == wanted, answer
