--- a/egretspur/transport.py
+++ b/egretspur/transport.py
@@ -125,10 +125,10 @@
             # The connection broke or timed out after bytes were sent. The other
             # side may be processing them, so a caller can't be promised that
             # the request was not run.
-            is_silent = isinstance(exc, exceptions.ReadTimeoutError)
-            if is_silent:
+            is_timeout = isinstance(exc, exceptions.ReadTimeoutError)
+            if is_timeout:
                 self.empty_pool(address)
-            return Failed(f"{address}: {exc}", True, is_silent)
+            return Failed(f"{address}: {exc}", True, is_timeout)
 
     def discard(self, address: str, res: urllib3.BaseHTTPResponse) -> None:
         """Closes a connection that broke mid-answer, and its pool."""
