--- a/egretspur/admission/quarantine.py
+++ b/egretspur/admission/quarantine.py
@@ -96,10 +96,10 @@
 
 
 # Crashes under one request: weight by id of the upstream's start.
-Crashes = Mapping[str, float]
+CrashWeights = Mapping[str, float]
 
 
-def has_new_crashes(known: Crashes, other: Crashes) -> bool:
+def has_new_crashes(known: CrashWeights, other: CrashWeights) -> bool:
     """Tells whether `known` has crashes that another record lacks."""
     return not set(known) <= set(other)
 
@@ -110,7 +110,7 @@
 
     fingerprint: str
     # Empty if it was released.
-    crashes: Crashes
+    crashes: CrashWeights
     # This host itself saw one of the crashes, or the answer.
     is_own: bool
 
@@ -214,7 +214,7 @@
         self._clear_crashes(fingerprint, True, now_s)
 
     def apply_peer_update(
-        self, records: Mapping[str, Crashes], now_s: float
+        self, records: Mapping[str, CrashWeights], now_s: float
     ) -> None:
         """Merges records from another host or the store.
 
@@ -259,7 +259,7 @@
         changes, self._changes = self._changes, []
         return changes
 
-    def list_quarantined(self) -> dict[str, Crashes]:
+    def list_quarantined(self) -> dict[str, CrashWeights]:
         """Returns the requests in quarantine."""
         return {
             f: dict(r.crashes)
@@ -284,7 +284,11 @@
         )
 
     def _add_crashes(
-        self, fingerprint: str, crashes: Crashes, is_own: bool, now_s: float
+        self,
+        fingerprint: str,
+        crashes: CrashWeights,
+        is_own: bool,
+        now_s: float,
     ) -> None:
         """Adds crashes to a request and quarantines it at the threshold."""
         record = self._get_record(fingerprint)
--- a/egretspur/catalog/quarantined.py
+++ b/egretspur/catalog/quarantined.py
@@ -46,7 +46,7 @@
 
 # Writes a request's ends under its fingerprint, or removes it if there are
 # none; returns why it was not done, empty if it was.
-Write = Callable[[str, quarantine.Crashes], str]
+Write = Callable[[str, quarantine.CrashWeights], str]
 
 
 def get_pace(is_reader: bool) -> feeds.Pace:
@@ -71,7 +71,7 @@
         self._saver = saver
 
     def take_whole(
-        self, values: Mapping[str, quarantine.Crashes | feeds.Unreadable]
+        self, values: Mapping[str, quarantine.CrashWeights | feeds.Unreadable]
     ) -> None:
         """Takes all requests in quarantine."""
         self._hand_on(tuple(values.items()))
@@ -79,7 +79,7 @@
     def take_changes(
         self,
         values: tuple[
-            tuple[str, quarantine.Crashes | feeds.Unreadable | None], ...
+            tuple[str, quarantine.CrashWeights | feeds.Unreadable | None], ...
         ],
     ) -> None:
         """Takes changes; a record that can't be read changes nothing."""
@@ -90,7 +90,7 @@
     def _hand_on(
         self,
         values: tuple[
-            tuple[str, quarantine.Crashes | feeds.Unreadable | None], ...
+            tuple[str, quarantine.CrashWeights | feeds.Unreadable | None], ...
         ],
     ) -> None:
         kept = {
@@ -143,7 +143,7 @@
 
     def note_copy(
         self,
-        report: tables.CopyReport[quarantine.Crashes],
+        report: tables.CopyReport[quarantine.CrashWeights],
         is_reader: bool,
     ) -> None:
         """Has written again what a copy of the store has lost.
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -210,7 +210,7 @@
     def _note_held_copy(
         self,
         saver: quarantined.Saver,
-        report: tables.CopyReport[quarantine.Crashes],
+        report: tables.CopyReport[quarantine.CrashWeights],
     ) -> None:
         self._copies.add(report)
         saver.note_copy(report, self._near.hosts.is_reader())
--- a/egretspur/membership/datagrams.py
+++ b/egretspur/membership/datagrams.py
@@ -65,7 +65,7 @@
     spent: Mapping[str, shared.Spent] = attrs.Factory(dict)
     # Upstreams that ended under requests, by fingerprint; none where it was
     # answered. No more than `MAX_ENDED`.
-    ended: Mapping[str, quarantine.Crashes] = attrs.Factory(dict)
+    ended: Mapping[str, quarantine.CrashWeights] = attrs.Factory(dict)
     # It has heard others for less than a window of the retry budget, and does
     # not know what was spent before.
     is_new: bool = False
--- a/egretspur/platform/decode.py
+++ b/egretspur/platform/decode.py
@@ -275,7 +275,7 @@
     )
 
 
-def decode_ends(value: Any) -> quarantine.Crashes:
+def decode_ends(value: Any) -> quarantine.CrashWeights:
     """Returns the upstreams that ended under a request in quarantine."""
     ends = datagrams.decode_ends(checks.Table(value).get("ended"))
     if not ends:
@@ -283,7 +283,7 @@
     return ends
 
 
-def encode_ends(ends: quarantine.Crashes) -> bytes:
+def encode_ends(ends: quarantine.CrashWeights) -> bytes:
     """Returns a record of a request in quarantine."""
     return orjson.dumps({"ended": dict(ends)})
 
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -386,7 +386,7 @@
     )
 
 
-def make_quarantine_topic(store: Store) -> Topic[quarantine.Crashes]:
+def make_quarantine_topic(store: Store) -> Topic[quarantine.CrashWeights]:
     """Returns the source of requests in quarantine."""
     return Topic(
         store,
@@ -397,7 +397,7 @@
 
 
 def write_quarantine(
-    store: Store, fingerprint: str, ends: quarantine.Crashes
+    store: Store, fingerprint: str, ends: quarantine.CrashWeights
 ) -> str:
     """Writes a request in quarantine, or removes it if it has no ends.
 
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -296,7 +296,7 @@
         )
 
     def restore(
-        self, ends: Mapping[str, quarantines.Crashes], now_s: float
+        self, ends: Mapping[str, quarantines.CrashWeights], now_s: float
     ) -> list[jobs.Effect]:
         """Takes what the store says of requests in quarantine."""
         self._crashes.restore(ends, now_s)
--- a/egretspur/routing/crashes.py
+++ b/egretspur/routing/crashes.py
@@ -56,7 +56,7 @@
         self._note_changes()
 
     def restore(
-        self, ends: Mapping[str, quarantines.Crashes], now_s: float
+        self, ends: Mapping[str, quarantines.CrashWeights], now_s: float
     ) -> None:
         """Takes what the store says of requests in quarantine."""
         self._quarantine.apply_peer_update(ends, now_s)
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -147,7 +147,7 @@
 class Restore:
     """Requests that the store has in quarantine; no ends for one let go."""
 
-    ends: Mapping[str, quarantine.Crashes]
+    ends: Mapping[str, quarantine.CrashWeights]
 
 
 @attrs.frozen
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -67,7 +67,7 @@
     spent: Mapping[str, shared.Spent] = attrs.Factory(dict)
     # Upstreams that ended under requests, by fingerprint; none where it was
     # answered.
-    ended: Mapping[str, quarantine.Crashes] = attrs.Factory(dict)
+    ended: Mapping[str, quarantine.CrashWeights] = attrs.Factory(dict)
     # It does not know what was spent before it started.
     is_new: bool = False
     # Limits that upstreams named, or name no more, as far as it knows.
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -79,7 +79,7 @@
     # Whether a datagram between two hosts arrives.
     is_heard: Callable[[peers.Host, peers.Host], bool] = lambda a, b: True
     # Ends of requests as the store has them.
-    stored: dict[str, quarantine.Crashes] = attrs.Factory(dict)
+    stored: dict[str, quarantine.CrashWeights] = attrs.Factory(dict)
     # Runs of which requests bring a part of their answer before engines end.
     has_late_ends: bool = False
 
--- a/tests/steps/copies_steps.py
+++ b/tests/steps/copies_steps.py
@@ -260,7 +260,7 @@
         self.written: list[str] = []
         self.saver = quarantined.Saver(self.write, random.Random(seed))
 
-    def write(self, fingerprint: str, ends: quarantine.Crashes) -> str:
+    def write(self, fingerprint: str, ends: quarantine.CrashWeights) -> str:
         """Takes a record as the store does."""
         self.written.append(fingerprint)
         return ""
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -363,7 +363,7 @@
     context.written = []
     context.problem = "no answer"
 
-    def write(name: str, ends: quarantine.Crashes) -> str:
+    def write(name: str, ends: quarantine.CrashWeights) -> str:
         if not context.problem:
             context.written.append((name, ends))
         return str(context.problem)
