--- a/egretspur/admission/queue.py
+++ b/egretspur/admission/queue.py
@@ -2,7 +2,8 @@
 
 Higher priority goes first; within a priority the workspace that has been
 served least goes first, so that a large workspace can't starve a small one.
-One start in `EVERYONE` ignores priority, so that low ones never stop entirely.
+One start in `IGNORE_PRIORITY_EVERY` ignores priority, so that low priorities
+are never starved entirely.
 """
 
 from __future__ import annotations
@@ -15,13 +16,14 @@
 from egretspur import errors
 
 # One start in this many goes to the oldest request whatever its priority.
-EVERYONE: Final = 10
+IGNORE_PRIORITY_EVERY: Final = 10
 
-# Weight of a new sample in the estimate of the pause between two ends.
-RATE_WEIGHT: Final = 0.05
+# Weight of a new sample in the moving average of the interval between two
+# requests that finish.
+INTERVAL_WEIGHT: Final = 0.05
 
-# Shortest pause counted; several requests can end in one moment.
-SHORTEST_PAUSE_S: Final = 1e-4
+# Lower bound of a sample, since several requests can finish at the same time.
+MIN_INTERVAL_S: Final = 1e-4
 
 
 @attrs.frozen
@@ -30,42 +32,44 @@
 
     id: str
     workspace: str
-    # Graph it needs; only requests of graphs with a free path are started.
+    # Graph it needs; a request is started only if its graph has a free path.
     graph: str
     priority: int
     arrived_s: float
     deadline_s: float
-    # Its caller has a part of the answer: it goes first, gives way to nobody
-    # and is given up only at its deadline.
+    # Its caller has a part of the answer: it goes first, is never evicted and
+    # expires only at its deadline.
     is_begun: bool = False
 
 
 @attrs.define
 class Queue:
-    """All waiting requests of one router."""
+    """Waiting requests of one router."""
 
-    length: int
+    max_length: int
     waiting: dict[str, Waiting] = attrs.Factory(dict)
-    # Requests started per workspace, on a common scale: a workspace that
-    # returns after a pause begins at the present, not with saved-up turns.
+    # Requests started per workspace, in virtual time: a workspace that returns
+    # after a pause starts at `virtual_time` and has no credit for the time.
     served: dict[str, float] = attrs.Factory(dict)
-    clock: float = 0.0
+    virtual_time: float = 0.0
     starts: int = 0
-    # Seconds between two requests that finish, smoothed, and when the last
-    # one did; by graph.
-    pauses: dict[str, float] = attrs.Factory(dict)
-    last_done_s: dict[str, float] = attrs.Factory(dict)
+    # Mean seconds between two requests that finish, and when the last one did;
+    # by graph.
+    intervals_s: dict[str, float] = attrs.Factory(dict)
+    last_finish_s: dict[str, float] = attrs.Factory(dict)
 
 
 @attrs.frozen
 class Queued:
-    """The request waits; `evicted` gave up its place to it, if any."""
+    """The request was queued; `evicted` was removed to make room, if any."""
 
     evicted: Waiting | None
 
 
-def offer(queue: Queue, item: Waiting, now_s: float) -> Queued | errors.Refusal:
-    """Puts a request into the queue or refuses it at once."""
+def enqueue(
+    queue: Queue, item: Waiting, now_s: float
+) -> Queued | errors.Refusal:
+    """Adds a request to the queue, or refuses it at once."""
     wait_s = estimate_wait(queue, item)
     if now_s + wait_s > item.deadline_s:
         return errors.Refusal(
@@ -74,7 +78,7 @@
             retry_after_s=max(1.0, wait_s),
         )
     evicted = None
-    if len(queue.waiting) >= queue.length:
+    if len(queue.waiting) >= queue.max_length:
         evicted = _find_evictable(queue, item)
         if evicted is None:
             return errors.Refusal(
@@ -88,14 +92,14 @@
 
 
 def estimate_wait(queue: Queue, item: Waiting) -> float:
-    """Returns the seconds until a request's turn, by the recent rate.
+    """Returns the seconds until a request starts, at the recent rate.
 
-    Ahead of it are all of higher priority, the earlier ones of its own
-    workspace, and of each other workspace at most as many as it will have had
-    turns itself.
+    Ahead of it are all requests of higher priority, the earlier ones of its own
+    workspace, and of each other workspace at most as many as its own workspace
+    starts until then.
     """
-    pause = queue.pauses.get(item.graph, 0.0)
-    if not pause:
+    interval_s = queue.intervals_s.get(item.graph, 0.0)
+    if not interval_s:
         return 0.0
     higher = 0
     mine = 0
@@ -112,68 +116,79 @@
         elif other.arrived_s <= item.arrived_s:
             mine += 1
     ahead = higher + mine + sum(min(n, mine + 1) for n in others.values())
-    return ahead * pause
+    return ahead * interval_s
 
 
-def order(queue: Queue, is_held: Callable[[Waiting], bool]) -> list[Waiting]:
-    """Returns one candidate for each graph: the request that is next.
+def list_candidates(
+    queue: Queue, is_limited: Callable[[Waiting], bool]
+) -> list[Waiting]:
+    """Returns the next request of each graph, in starting order.
 
     Args:
         queue: The queue.
-        is_held: Tells whether a request's workspace is at its limit.
+        is_limited: Tells whether a request's workspace is at its limit.
     """
-    everyone = queue.starts % EVERYONE == EVERYONE - 1
+    ignores_priority = (
+        queue.starts % IGNORE_PRIORITY_EVERY == IGNORE_PRIORITY_EVERY - 1
+    )
     best: dict[str, Waiting] = {}
     for item in queue.waiting.values():
-        if is_held(item):
+        if is_limited(item):
             continue
         other = best.get(item.graph)
-        if other is None or _rank(queue, item, everyone) < _rank(
-            queue, other, everyone
+        if other is None or _rank(queue, item, ignores_priority) < _rank(
+            queue, other, ignores_priority
         ):
             best[item.graph] = item
-    return sorted(best.values(), key=lambda i: _rank(queue, i, everyone))
+    return sorted(
+        best.values(), key=lambda i: _rank(queue, i, ignores_priority)
+    )
 
 
 def start(queue: Queue, item: Waiting) -> None:
-    """Takes a request off the queue because it is started."""
+    """Removes a request from the queue because it is started."""
     queue.waiting.pop(item.id, None)
-    note_start(queue, item.workspace)
+    record_start(queue, item.workspace)
 
 
-def note_start(queue: Queue, workspace: str) -> None:
-    """Counts a started request, queued before or not."""
+def record_start(queue: Queue, workspace: str) -> None:
+    """Counts a started request, whether or not it was queued."""
     queue.starts += 1
-    served = max(queue.served.get(workspace, 0.0), queue.clock)
-    queue.clock = served
+    served = max(queue.served.get(workspace, 0.0), queue.virtual_time)
+    queue.virtual_time = served
     queue.served[workspace] = served + 1.0
-    if len(queue.served) > 4 * queue.length + 64:
+    if len(queue.served) > 4 * queue.max_length + 64:
         queue.served = {
-            w: s for w, s in queue.served.items() if s > queue.clock
+            w: s for w, s in queue.served.items() if s > queue.virtual_time
         }
 
 
-def note_done(queue: Queue, graph: str, now_s: float) -> None:
-    """Counts a finished request; what finishes is what makes room."""
-    last = queue.last_done_s.get(graph)
-    queue.last_done_s[graph] = now_s
+def record_finish(queue: Queue, graph: str, now_s: float) -> None:
+    """Updates the mean interval between requests that finish.
+
+    A waiting request can start only when another one finishes.
+    """
+    last = queue.last_finish_s.get(graph)
+    queue.last_finish_s[graph] = now_s
     if last is None:
         return
-    pause = max(now_s - last, SHORTEST_PAUSE_S)
-    old = queue.pauses.get(graph, pause)
-    queue.pauses[graph] = (1 - RATE_WEIGHT) * old + RATE_WEIGHT * pause
+    interval_s = max(now_s - last, MIN_INTERVAL_S)
+    old = queue.intervals_s.get(graph, interval_s)
+    queue.intervals_s[graph] = (
+        1 - INTERVAL_WEIGHT
+    ) * old + INTERVAL_WEIGHT * interval_s
 
 
 def remove(queue: Queue, request_id: str) -> None:
-    """Takes a request off the queue because its caller is gone."""
+    """Removes a request from the queue because its caller disconnected."""
     queue.waiting.pop(request_id, None)
 
 
 def expire(queue: Queue, now_s: float) -> list[Waiting]:
-    """Takes off and returns requests that can't be started in time.
+    """Removes and returns requests that can't be started in time.
 
-    Not only those whose deadline has come: one that others have got ahead of
-    is told at once, so that its caller can turn elsewhere.
+    Includes requests that no longer can because others were queued ahead of
+    them, so that their callers can try elsewhere before the deadline.
     """
     late = [
         w
@@ -187,21 +202,22 @@
 
 
 def _rank(
-    queue: Queue, item: Waiting, everyone: bool
+    queue: Queue, item: Waiting, ignores_priority: bool
 ) -> tuple[bool, float, float, float, str]:
-    served = max(queue.served.get(item.workspace, 0.0), queue.clock)
-    priority = 0.0 if everyone else -float(item.priority)
-    if everyone:
+    served = max(queue.served.get(item.workspace, 0.0), queue.virtual_time)
+    priority = 0.0 if ignores_priority else -float(item.priority)
+    if ignores_priority:
         return not item.is_begun, priority, item.arrived_s, served, item.id
     return not item.is_begun, priority, served, item.arrived_s, item.id
 
 
 def _find_evictable(queue: Queue, item: Waiting) -> Waiting | None:
-    """Returns the request that must give way to another one.
+    """Returns the request to evict for another one, if any.
 
-    That is the newest of the lowest priority; or, where none is lower, the
-    newest of the workspace that fills the queue, if that has two more waiting
-    than the newcomer's: a large workspace must not keep a small one out.
+    That is the newest of the lowest priority. If none is lower, it is the
+    newest of the workspace with most requests in the queue, provided that it
+    has at least two more than the new request's workspace: a large workspace
+    must not keep a small one out.
     """
     movable = [w for w in queue.waiting.values() if not w.is_begun]
     if not movable:
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -233,7 +233,7 @@
                 "cut off from the platform's log; serving by the last"
                 " configuration"
             )
-        if not self._hosts.reachable:
+        if not self._hosts.is_reachable:
             parts.append("the platform's host list does not answer")
         if missing:
             parts.append("no news from: " + ", ".join(missing))
@@ -252,7 +252,7 @@
         return [
             statuses.Quarantined(fingerprint, len(ends))
             for fingerprint, ends in sorted(self._get_view().ended.items())
-            if sum(ends.values()) >= quarantine.ENDS
+            if sum(ends.values()) >= quarantine.CRASH_THRESHOLD
         ]
 
     def _get_quarantine(self, req: web.Request) -> web.Response:
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -134,7 +134,7 @@
         # A copy that was followed by another one is not completed.
         for era in [e for e in self._reports if e <= report.era]:
             self._reports.pop(era, None)
-        names = slice(decisions.NAMED)
+        names = slice(decisions.MAX_NAMED)
         decisions.record(
             decisions.StoreCopied(
                 report.before,
@@ -172,7 +172,7 @@
         self.listed = UpstreamsSink(to)
         hosts = near.hosts
         configs = stores.make_config_topic(store)
-        listed = stores.make_upstreams_topic(store, limits.lapse_s)
+        listed = stores.make_upstreams_topic(store, limits.entry_ttl_s)
         held = stores.make_quarantine_topic(store)
         self._configs = feeds.Feed(
             "config",
@@ -210,7 +210,7 @@
     def _note_held_copy(
         self,
         saver: quarantined.Saver,
-        report: tables.CopyReport[quarantine.Ends],
+        report: tables.CopyReport[quarantine.CrashWeights],
     ) -> None:
         self._copies.add(report)
         saver.note_copy(report, self._near.hosts.is_reader())
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -98,7 +98,7 @@
         self._intake = intake.Intake(
             self._desk,
             upstream.UpstreamClient(
-                cfg.bounds.silence_s, self._desk.note_signals
+                cfg.bounds.max_silence_s, self._desk.note_signals
             ),
             self._watch,
             rng,
@@ -152,7 +152,7 @@
             self._make_app(),
             cfg.listen,
             THREADS,
-            grows=True,
+            starts_on_demand=True,
             connections=CONNECTIONS,
         )
         self._ready_server = web.Server(
@@ -404,7 +404,7 @@
 
     def _watch_settings(self) -> None:
         while not self._stop.wait(SETTINGS_PERIOD_S):
-            with guard.surviving("settings"):
+            with guard.log_exceptions("settings"):
                 if self._file.is_changed() or self._is_reload_due:
                     self._is_reload_due = False
                     self._reload()
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -78,9 +78,11 @@
         excess=own.memory.list_excess(now_s),
         suspects=own.list_suspects(now_s, False),
         spent=state.retry_budgets.list_spent(now_s),
-        ended=state.quarantine.list_told(datagrams.MAX_CRASHED_REQUESTS, now_s),
+        ended=state.quarantine.list_updates(
+            datagrams.MAX_CRASHED_REQUESTS, now_s
+        ),
         is_new=state.retry_budgets.is_new(now_s),
-        limits=state.throttle.list_told(now_s),
+        limits=state.throttle.list_updates(now_s),
     )
 
 
@@ -92,8 +94,8 @@
         news,
         usage=state.fleet.memory.sum_data_centre(now_s),
         suspects=state.fleet.list_suspects(now_s, True),
-        spent=state.retry_budgets.sum_spent(now_s),
-        limits=state.throttle.list_told(now_s, is_speaker=True),
+        spent=state.retry_budgets.sum_local(now_s),
+        limits=state.throttle.list_updates(now_s, is_speaker=True),
     )
 
 
--- a/egretspur/membership/actor.py
+++ b/egretspur/membership/actor.py
@@ -120,7 +120,7 @@
 class AddLimits:
     """Limits that upstreams set or lifted, by upstream start."""
 
-    limits: dict[str, throttle.Told]
+    limits: dict[str, throttle.PublishedLimit]
 
 
 @attrs.frozen
@@ -156,7 +156,7 @@
     demand: dict[str, dict[str, int]]
     # Upstreams that crashed under requests, as in `AddCrashes`.
     ended: dict[str, dict[str, float]]
-    limits: dict[str, throttle.Told]
+    limits: dict[str, throttle.PublishedLimit]
     # Rank of this host among those that follow the log, from 0.
     rank: int
     # Control addresses in other data centres, by data centre.
@@ -222,7 +222,7 @@
     @functools.singledispatchmethod
     def handle(self, message: object) -> Any:
         """Handles one message."""
-        raise actors.make_unknown(message)
+        raise actors.make_unknown_message_error(message)
 
     @handle.register
     def _(self, message: Tick) -> None:
@@ -470,7 +470,7 @@
             time.monotonic(),
         )
 
-    def _get_limits(self) -> dict[str, throttle.Told]:
+    def _get_limits(self) -> dict[str, throttle.PublishedLimit]:
         """Returns the latest limit of each upstream start, from any host."""
         now_s = time.monotonic()
         known = [
@@ -479,7 +479,7 @@
             if k.entry.kind is entries.Kind.LIMIT
         ]
         return {
-            k.entry.name: throttle.Told(
+            k.entry.name: throttle.PublishedLimit(
                 float(k.entry.value) if k.entry.value else None,
                 now_s - k.since_s,
             )
--- a/egretspur/membership/datagrams.py
+++ b/egretspur/membership/datagrams.py
@@ -66,12 +66,12 @@
     spent: Mapping[str, shared.Spent] = attrs.Factory(dict)
     # Upstreams that crashed under requests, by request fingerprint; empty for
     # an answered request. Up to `MAX_CRASHED_REQUESTS`.
-    ended: Mapping[str, quarantine.Ends] = attrs.Factory(dict)
+    ended: Mapping[str, quarantine.CrashWeights] = attrs.Factory(dict)
     # The host has received updates for less than a window of the retry budget
     # and does not know what was spent before.
     is_new: bool = False
     # Limits that upstreams set or lifted, whichever host received the answer.
-    limits: Mapping[str, throttle.Told] = attrs.Factory(dict)
+    limits: Mapping[str, throttle.PublishedLimit] = attrs.Factory(dict)
 
 
 @attrs.frozen
@@ -250,9 +250,9 @@
     )
 
 
-def _decode_limit(value: Any) -> throttle.Told:
+def _decode_limit(value: Any) -> throttle.PublishedLimit:
     per_s, age_s, wanted = checks.check_row(value, "limits", 3)
-    return throttle.Told(
+    return throttle.PublishedLimit(
         None if per_s is None else checks.check_number(per_s, "limits"),
         checks.check_number(age_s, "limits"),
         checks.check_count(wanted, "limits"),
--- a/egretspur/membership/duty.py
+++ b/egretspur/membership/duty.py
@@ -236,7 +236,7 @@
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            with guard.surviving("duty"):
+            with guard.log_exceptions("duty"):
                 self.join()
             self._stop.wait(JOIN_PERIOD_S)
 
--- a/egretspur/membership/exchange.py
+++ b/egretspur/membership/exchange.py
@@ -496,7 +496,7 @@
             self._send_requested.wait(SEND_PERIOD_S - MIN_SEND_INTERVAL_S)
             self._send_requested.clear()
             turn += 1
-            with guard.surviving("news-out"):
+            with guard.log_exceptions("news-out"):
                 self._send_once(turn)
 
     def _send_once(self, turn: int) -> None:
@@ -535,7 +535,7 @@
             # With many hosts, more datagrams follow at once; waking up for each
             # costs more than reading it.
             time.sleep(BATCH_WAIT_S)
-            with guard.surviving("news-in"):
+            with guard.log_exceptions("news-in"):
                 self._handle_batch([first, *self._read_waiting()])
 
     def _read_waiting(self) -> list[_Datagram]:
--- a/egretspur/orders/actor.py
+++ b/egretspur/orders/actor.py
@@ -111,7 +111,7 @@
     @functools.singledispatchmethod
     def handle(self, message: object) -> Any:
         """Handles one message."""
-        raise actors.make_unknown(message)
+        raise actors.make_unknown_message_error(message)
 
     @handle.register
     def _(self, message: GetSummary) -> Summary:
@@ -307,7 +307,7 @@
             if now - since > self._opts.dead_after_s
         ]
         listed = self._hosts.get_local()
-        if self._hosts.reachable:
+        if self._hosts.is_reachable:
             dead += [n for n in self._seen_hosts if n not in listed]
         if not dead:
             return
--- a/egretspur/routing/actor.py
+++ b/egretspur/routing/actor.py
@@ -121,7 +121,7 @@
     leaving: tuple[tables.LeavingMark, ...]
     demand: dict[str, int]
     ended: dict[str, dict[str, float]]
-    limits: dict[str, throttle.Told]
+    limits: dict[str, throttle.PublishedLimit]
 
 
 @attrs.frozen
@@ -170,7 +170,7 @@
     @functools.singledispatchmethod
     def handle(self, message: object) -> Any:
         """Handles one message."""
-        raise actors.make_unknown(message)
+        raise actors.make_unknown_message_error(message)
 
     @handle.register
     def _(self, message: Arrive) -> None:
@@ -221,7 +221,7 @@
 
     @handle.register
     def _(self, message: IsQuarantined) -> bool:
-        return self._dispatcher.quarantine.is_held(message.fingerprint)
+        return self._dispatcher.quarantine.is_blocked(message.fingerprint)
 
     @handle.register
     def _(self, message: NoteCall) -> None:
@@ -264,7 +264,9 @@
             marks,
             self._dispatcher.get_demand(),
             self._dispatcher.list_crashes(time.monotonic()),
-            self._dispatcher.availability.throttle.list_told(time.monotonic()),
+            self._dispatcher.availability.throttle.list_updates(
+                time.monotonic()
+            ),
         )
 
     @handle.register
@@ -287,10 +289,13 @@
                 for name, load in sorted(state.network.loads.items())
             ),
             {n: tuple(sorted(f)) for n, f in state.network.leaving.items()},
-            {f: dict(e) for f, e in state.quarantine.list_held().items()},
+            {
+                f: dict(e)
+                for f, e in state.quarantine.list_quarantined().items()
+            },
         )
 
-    def note_failed(self, message: Any) -> None:
+    def on_message_failed(self, message: Any) -> None:
         """Refuses the request whose handling raised an exception."""
         questions.refuse_failed(message)
 
@@ -349,7 +354,7 @@
 
     def note_signals(self, upstream: str, answer: signals.Signals) -> None:
         """Reports the signals of an answer; most answers have none."""
-        if answer != signals.NONE or self._throttle.limited:
+        if answer != signals.NO_SIGNALS or self._throttle.limited:
             self._ref.tell(NoteSignals(upstream, answer))
 
     def acquire_permit(self, upstream: str) -> bool:
--- a/egretspur/routing/availability.py
+++ b/egretspur/routing/availability.py
@@ -53,9 +53,9 @@
         is_new = answer.is_leaving and self._network.note_leaving(name, now_s)
         incarnation_id = self._network.make_incarnation_id(name)
         per_s = answer.per_s
-        if not isinstance(per_s, signals.Unreadable) and self.throttle.note(
-            incarnation_id, per_s, now_s
-        ):
+        if not isinstance(
+            per_s, signals.Unreadable
+        ) and self.throttle.record_limit(incarnation_id, per_s, now_s):
             is_new = True
             decisions.record(
                 decisions.UpstreamLimited(incarnation_id, per_s, True)
@@ -70,7 +70,7 @@
             for n in self._network.upstreams
         }
         for incarnation_id, limit in message.limits.items():
-            if incarnation_id in listed and self.throttle.hear(
+            if incarnation_id in listed and self.throttle.apply_peer_update(
                 "", "", incarnation_id, limit, now_s
             ):
                 decisions.record(
@@ -78,13 +78,13 @@
                         incarnation_id, limit.per_s, False
                     )
                 )
-        self.throttle.forget(listed)
+        self.throttle.remove_unlisted(listed)
 
     def is_open(self, name: str, now_s: float) -> bool:
         """Returns whether an upstream accepts a request of this router now."""
         return not self._network.get_backoff_s(
             name, now_s
-        ) and self.throttle.is_open(
+        ) and self.throttle.can_send(
             self._network.make_incarnation_id(name), now_s
         )
 
@@ -102,7 +102,9 @@
 
     def consume_permit(self, name: str, now_s: float) -> None:
         """Counts a request sent to an upstream against its limit."""
-        self.throttle.take(self._network.make_incarnation_id(name), now_s)
+        self.throttle.record_send(
+            self._network.make_incarnation_id(name), now_s
+        )
 
     def acquire_permit(self, name: str, now_s: float) -> bool:
         """Acquires a permit if a plain service's replica accepts a call now."""
@@ -150,7 +152,7 @@
         return self._returns.assign_delay_s(key, opening, waiting, now_s)
 
     def _note_unreadable(self, name: str, value: signals.Unreadable) -> None:
-        if self.throttle.note_unreadable(
+        if self.throttle.record_unreadable(
             self._network.make_incarnation_id(name)
         ):
             decisions.record(
--- a/egretspur/routing/backpressure.py
+++ b/egretspur/routing/backpressure.py
@@ -51,7 +51,7 @@
         self,
         host: str,
         data_centre: str,
-        limits: Mapping[str, throttle.Told],
+        limits: Mapping[str, throttle.PublishedLimit],
         now_s: float,
     ) -> None:
         """Merges the limits in a peer update.
@@ -63,8 +63,11 @@
             now_s: Monotonic time.
         """
         for upstream_id, limit in limits.items():
-            if upstream_id in self._roster.entries and self._throttle.hear(
-                host, data_centre, upstream_id, limit, now_s
+            if (
+                upstream_id in self._roster.entries
+                and self._throttle.apply_peer_update(
+                    host, data_centre, upstream_id, limit, now_s
+                )
             ):
                 self._log_limit(upstream_id, limit.per_s, False)
 
@@ -72,7 +75,7 @@
         self, upstream_id: str, per_s: float | None, now_s: float
     ) -> None:
         """Records the limit in an upstream's answer; None if it had none."""
-        if self._throttle.note(upstream_id, per_s, now_s):
+        if self._throttle.record_limit(upstream_id, per_s, now_s):
             self._log_limit(upstream_id, per_s, True)
 
     def record_backoff(
@@ -108,9 +111,9 @@
             Whether the probe may be sent.
         """
         is_backing_off = self._health.is_backing_off(upstream_id, now_s)
-        if is_backing_off or not self._throttle.is_open(upstream_id, now_s):
+        if is_backing_off or not self._throttle.can_send(upstream_id, now_s):
             return False
-        self._throttle.take(upstream_id, now_s)
+        self._throttle.record_send(upstream_id, now_s)
         return True
 
     def apply_limit(
@@ -124,7 +127,7 @@
         Returns:
             None if the candidate has no other layer.
         """
-        if candidate.first or self._throttle.is_open(candidate.id, now_s):
+        if candidate.first or self._throttle.can_send(candidate.id, now_s):
             return candidate
         return attrs.evolve(candidate, first=1) if candidate.last > 1 else None
 
@@ -142,10 +145,12 @@
             for e in entries
             if e.accelerator and e.data_centre == self._data_centre
         ]
-        if any(self._throttle.is_open(e.id, now_s) for e in near):
+        if any(self._throttle.can_send(e.id, now_s) for e in near):
             entries = near
         ids = {e.id for e in entries}
-        self._throttle.demand.note(ids & self._throttle.limited, now_s)
+        self._throttle.demand.record_request(
+            ids & self._throttle.limited, now_s
+        )
 
     def find_opening(
         self, service: str, now_s: float
@@ -179,7 +184,7 @@
 
     def remove_unlisted(self, listed: Container[str]) -> None:
         """Drops the state of upstreams that are no longer listed."""
-        self._throttle.forget(listed)
+        self._throttle.remove_unlisted(listed)
         self._leaving = {i for i in self._leaving if i in listed}
 
     def _list_entry_upstreams(self, service: str) -> list[upstreams.Upstream]:
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -78,7 +78,7 @@
         )
         self.counts = jobs.Counts()
         self.tickets: dict[str, tickets.Ticket] = {}
-        self.retry_budgets = repeats.Repeats(data_centre, budget, rng)
+        self.retry_budgets = repeats.RetryBudgets(data_centre, budget, rng)
         self._rng = rng
         self._services: Mapping[str, config.Service] = {}
         # The queue is not served again before this time unless the fleet's
@@ -145,10 +145,10 @@
         if ticket is None:
             return []
         if is_answered:
-            self.quarantine.note_answered(ticket.job.fingerprint, now_s)
+            self.quarantine.record_answer(ticket.job.fingerprint, now_s)
         queues.remove(self.queue, job_id)
         if ticket.upstream_id:
-            queues.note_done(self.queue, ticket.job.service, now_s)
+            queues.record_finish(self.queue, ticket.job.service, now_s)
         self._release(ticket)
         self._return_retry(ticket)
         self.counts.finished += 1
@@ -197,7 +197,7 @@
     def _note_unreadable(
         self, upstream_id: str, value: signals.Unreadable
     ) -> None:
-        if self.throttle.note_unreadable(upstream_id):
+        if self.throttle.record_unreadable(upstream_id):
             self._notes.append(
                 decisions.EntryLeftOut(
                     "answers", upstream_id, value.field, value.problem
@@ -227,7 +227,7 @@
         self._crashes.note_cut(
             ticket.job.fingerprint, tuple(sorted(stalled)), has_output, now_s
         )
-        if self.quarantine.is_held(ticket.job.fingerprint):
+        if self.quarantine.is_blocked(ticket.job.fingerprint):
             return jobs.RerouteDecision(None, is_ended=True)
         decision = self._find_reroute(
             ticket, spec, stalled, self._can_resume(ticket), now_s
@@ -262,7 +262,7 @@
         ticket = self.tickets.get(job_id)
         if ticket is None:
             return False
-        if self.quarantine.is_held(ticket.job.fingerprint):
+        if self.quarantine.is_blocked(ticket.job.fingerprint):
             return True
         return self._can_resume(ticket) and self._take_retry(ticket, now_s)
 
@@ -278,16 +278,14 @@
     def _return_retry(self, ticket: tickets.Ticket) -> None:
         """Returns a retry that was taken and not sent to the budget."""
         if ticket.retry_taken_s is not None:
-            self.retry_budgets.give_back(
-                ticket.job.service, ticket.retry_taken_s
-            )
+            self.retry_budgets.refund(ticket.job.service, ticket.retry_taken_s)
             ticket.retry_taken_s = None
 
     def _describe_retry(
         self, ticket: tickets.Ticket, now_s: float
     ) -> decisions.RepeatTaken | decisions.BudgetEmpty:
         service = ticket.job.service
-        standing = self.retry_budgets.get_standing(service, now_s)
+        standing = self.retry_budgets.get_balance(service, now_s)
         make = (
             decisions.BudgetEmpty
             if ticket.retry_taken_s is None
@@ -297,13 +295,13 @@
             ticket.job.id,
             service,
             standing.sent,
-            standing.part,
+            standing.guaranteed,
             standing.borrowed,
             self.retry_budgets.hosts,
         )
 
     def restore_quarantine(
-        self, ends: Mapping[str, quarantines.Ends], now_s: float
+        self, ends: Mapping[str, quarantines.CrashWeights], now_s: float
     ) -> list[jobs.Effect]:
         """Applies the quarantine as the store has it."""
         self._crashes.restore(ends, now_s)
@@ -361,9 +359,9 @@
     ) -> None:
         """Applies a peer update."""
         self.fleet.apply_peer_update(update, now_s)
-        self.quarantine.hear(update.ended, now_s)
+        self.quarantine.apply_peer_update(update.ended, now_s)
         self._crashes.settle(now_s)
-        self.retry_budgets.hear(
+        self.retry_budgets.apply_peer_update(
             update.host, update.data_centre, update.spent, now_s, update.is_new
         )
 
@@ -393,13 +391,13 @@
         return (
             bool(self.queue.waiting)
             or self.fleet.has_pending_probes()
-            or self.quarantine.is_settling()
+            or self.quarantine.has_pending_cuts()
         )
 
     # Decisions.
 
     def _admit(self, ticket: tickets.Ticket, now_s: float) -> list[jobs.Effect]:
-        if self.quarantine.is_held(ticket.job.fingerprint):
+        if self.quarantine.is_blocked(ticket.job.fingerprint):
             return [self._refuse_quarantined(ticket, now_s)]
         service = self._services.get(ticket.job.service)
         if service is None:
@@ -420,7 +418,7 @@
         if not is_behind:
             start = self._try_start(ticket, now_s)
             if start is not None:
-                queues.note_start(self.queue, ticket.job.workspace)
+                queues.record_start(self.queue, ticket.job.workspace)
                 return [*effects, start]
         if is_queued:
             return [*effects, *self._enqueue(ticket, opening, now_s)]
@@ -466,7 +464,7 @@
             self.queue.waiting[item.id] = item
             return []
         if opening is not None:
-            turn_s = opening.get_turn_s(self._count_waiting(job))
+            turn_s = opening.estimate_wait_s(self._count_waiting(job))
             if now_s + turn_s > item.deadline_s:
                 return [self._refuse_limited(ticket, opening, now_s)]
         self.counts.queued += 1
@@ -481,7 +479,7 @@
                 item.deadline_s - now_s,
             )
         )
-        offered = queues.offer(self.queue, item, now_s)
+        offered = queues.enqueue(self.queue, item, now_s)
         if isinstance(offered, errors.Refusal):
             return [self._refuse(ticket, now_s, offered.kind, offered.reason)]
         if offered.evicted is None:
@@ -555,7 +553,7 @@
         return [
             self._refuse_quarantined(self.tickets[i], now_s)
             for i in list(self.queue.waiting)
-            if self.quarantine.is_held(self.tickets[i].job.fingerprint)
+            if self.quarantine.is_blocked(self.tickets[i].job.fingerprint)
         ]
 
     def _serve_queue(self, now_s: float) -> list[jobs.Effect]:
@@ -567,7 +565,7 @@
         while self.queue.waiting:
             items = [
                 i
-                for i in queues.order(self.queue, lambda item: False)
+                for i in queues.list_candidates(self.queue, lambda item: False)
                 if i.graph not in stuck and i.id not in stuck
             ]
             if not items:
@@ -630,7 +628,7 @@
             self.counts.repeats += 1
         self._notes.append(self._describe_start(ticket, entry, now_s))
         self._add_memory_use(ticket, 1)
-        self.throttle.take(entry.id, now_s)
+        self.throttle.record_send(entry.id, now_s)
         self.counts.started += 1
         return jobs.Start(ticket.job.id, entry, ticket.parts)
 
@@ -705,7 +703,7 @@
         self, ticket: tickets.Ticket, failure: jobs.Failure, now_s: float
     ) -> errors.Refusal | None:
         """Returns the final answer if the request may not be retried."""
-        is_held = self.quarantine.is_held(ticket.job.fingerprint)
+        is_held = self.quarantine.is_blocked(ticket.job.fingerprint)
         final = retries.check(ticket, failure, is_held, now_s)
         if final is None and not self._take_retry(ticket, now_s):
             final = retries.make_final(ticket, failure, "no retries left")
--- a/egretspur/routing/crashes.py
+++ b/egretspur/routing/crashes.py
@@ -42,22 +42,24 @@
         """Records that one of these upstreams may have crashed."""
         if not upstream_ids:
             return
-        self._quarantine.note_cut(
-            quarantines.Cut(fingerprint, upstream_ids, has_output, now_s),
+        self._quarantine.record_cut(
+            quarantines.CutAttempt(
+                fingerprint, upstream_ids, has_output, now_s
+            ),
             now_s,
         )
         self.settle(now_s)
 
     def settle(self, now_s: float) -> None:
         """Counts the upstreams that are known by now to have crashed."""
-        self._quarantine.settle(self._get_state, now_s)
+        self._quarantine.resolve_cuts(self._get_state, now_s)
         self._note_changes()
 
     def restore(
-        self, ends: Mapping[str, quarantines.Ends], now_s: float
+        self, ends: Mapping[str, quarantines.CrashWeights], now_s: float
     ) -> None:
         """Applies the quarantine as the store has it."""
-        self._quarantine.hear(ends, now_s)
+        self._quarantine.apply_peer_update(ends, now_s)
         self._note_changes()
 
     def take_unsaved(self) -> list[quarantines.Change]:
@@ -65,24 +67,24 @@
         unsaved, self._unsaved = self._unsaved, []
         return unsaved
 
-    def _get_state(self, upstream_id: str) -> quarantines.State:
+    def _get_state(self, upstream_id: str) -> quarantines.UpstreamState:
         """Returns the state of an upstream whose answer was cut."""
         if upstream_id not in self._fleet.roster.entries:
-            return quarantines.State.ENDED
+            return quarantines.UpstreamState.CRASHED
         failed = self._fleet.health.failed.get(upstream_id)
         if failed is None:
-            return quarantines.State.ALIVE
+            return quarantines.UpstreamState.ALIVE
         if failed.is_down:
-            return quarantines.State.ENDED
-        return quarantines.State.UNKNOWN
+            return quarantines.UpstreamState.CRASHED
+        return quarantines.UpstreamState.UNKNOWN
 
     def _note_changes(self) -> None:
         for change in self._quarantine.take_changes():
             self.notes.append(
                 decisions.QuarantineChanged(
                     change.fingerprint,
-                    bool(change.ends),
-                    len(change.ends),
+                    bool(change.crashes),
+                    len(change.crashes),
                     change.is_own,
                 )
             )
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -147,7 +147,7 @@
 class RestoreQuarantine:
     """The store's quarantine; a released request has no crashes."""
 
-    ends: Mapping[str, quarantine.Ends]
+    ends: Mapping[str, quarantine.CrashWeights]
 
 
 @attrs.frozen
@@ -210,7 +210,7 @@
     @functools.singledispatchmethod
     def handle(self, message: object) -> Any:
         """Handles one message."""
-        raise actors.make_unknown(message)
+        raise actors.make_unknown_message_error(message)
 
     @handle.register
     def _(self, message: Arrive) -> None:
@@ -358,7 +358,7 @@
             elif not self._busy.is_set():
                 self._busy.set()
 
-    def note_failed(self, message: Any) -> None:
+    def on_message_failed(self, message: Any) -> None:
         """Refuses the request whose message raised an error."""
         questions.refuse_failed(message)
 
@@ -399,7 +399,10 @@
 
     def note_signals(self, upstream_id: str, answer: signals.Signals) -> None:
         """Reports the signals of an answer; skips those that change nothing."""
-        if answer == signals.NONE and upstream_id not in self._throttle.limited:
+        if (
+            answer == signals.NO_SIGNALS
+            and upstream_id not in self._throttle.limited
+        ):
             return
         self._ref.tell(NoteSignals(upstream_id, answer))
 
--- a/egretspur/routing/dispatch.py
+++ b/egretspur/routing/dispatch.py
@@ -126,8 +126,8 @@
             return self._handle_busy(ticket, path, failure, now_s)
         self.network.record_failure(ticket, path, failure, now_s)
         if failure.is_cut and ticket.incarnation_ids:
-            self.quarantine.note_cut(
-                quarantines.Cut(
+            self.quarantine.record_cut(
+                quarantines.CutAttempt(
                     ticket.arrival.fingerprint,
                     ticket.incarnation_ids,
                     failure.has_brought,
@@ -136,7 +136,7 @@
                 now_s,
             )
             self._count_crashes(now_s)
-        if self.quarantine.is_held(ticket.arrival.fingerprint):
+        if self.quarantine.is_blocked(ticket.arrival.fingerprint):
             return [
                 *self._refuse_quarantined(failure.id, failure.reason, now_s),
                 *self._start_waiting(now_s),
@@ -167,10 +167,10 @@
         if ticket is None:
             return []
         if is_answered:
-            self.quarantine.note_answered(ticket.arrival.fingerprint, now_s)
+            self.quarantine.record_answer(ticket.arrival.fingerprint, now_s)
         queues.remove(self.queue, request_id)
         if self._release_path(ticket) is not None:
-            queues.note_done(self.queue, ticket.graph, now_s)
+            queues.record_finish(self.queue, ticket.graph, now_s)
         self.counts.finished += 1
         return self._start_waiting(now_s)
 
@@ -187,7 +187,7 @@
         self.network.mark_leaving(message.leaving, now_s)
         self._shares.update_demand(message.demand, message.listed, now_s)
         self.network.rebuild()
-        self.quarantine.hear(message.ended, now_s)
+        self.quarantine.apply_peer_update(message.ended, now_s)
         self._count_crashes(now_s)
         self.availability.apply_update(message, now_s)
         return [
@@ -268,29 +268,32 @@
             now_s: Monotonic time.
         """
         if is_answered:
-            self.quarantine.note_answered(fingerprint, now_s)
+            self.quarantine.record_answer(fingerprint, now_s)
             return
         incarnation_id = self.network.make_incarnation_id(name)
-        self.quarantine.note_cut(
-            quarantines.Cut(fingerprint, (incarnation_id,), False, now_s), now_s
+        self.quarantine.record_cut(
+            quarantines.CutAttempt(
+                fingerprint, (incarnation_id,), False, now_s
+            ),
+            now_s,
         )
         self._count_crashes(now_s)
 
     def list_crashes(self, now_s: float) -> dict[str, dict[str, float]]:
         """Returns crashed upstreams by request, for other hosts."""
-        return self.quarantine.list_told(MAX_ADVERTISED_REQUESTS, now_s)
+        return self.quarantine.list_updates(MAX_ADVERTISED_REQUESTS, now_s)
 
     # Decisions.
 
     def _count_crashes(self, now_s: float) -> None:
         """Counts the upstreams that are now known to have crashed."""
-        self.quarantine.settle(self.network.get_incarnation_state, now_s)
+        self.quarantine.resolve_cuts(self.network.get_incarnation_state, now_s)
         for change in self.quarantine.take_changes():
             decisions.record(
                 decisions.QuarantineChanged(
                     change.fingerprint,
-                    bool(change.ends),
-                    len(change.ends),
+                    bool(change.crashes),
+                    len(change.crashes),
                     change.is_own,
                 )
             )
@@ -316,7 +319,7 @@
         return [
             effect
             for i in list(self.queue.waiting)
-            if self.quarantine.is_held(self.tickets[i].arrival.fingerprint)
+            if self.quarantine.is_blocked(self.tickets[i].arrival.fingerprint)
             for effect in self._refuse_quarantined(
                 i, "quarantined while waiting", now_s
             )
@@ -325,7 +328,7 @@
     def _admit(
         self, ticket: requests.Ticket, now_s: float
     ) -> list[requests.Effect]:
-        if self.quarantine.is_held(ticket.arrival.fingerprint):
+        if self.quarantine.is_blocked(ticket.arrival.fingerprint):
             return self._refuse_quarantined(
                 ticket.arrival.id, "in quarantine", now_s
             )
@@ -346,12 +349,12 @@
         ) and not self._is_at_limit(item, limit_check):
             grant = self._try_start(ticket, now_s)
             if grant is not None:
-                queues.note_start(self.queue, item.workspace)
+                queues.record_start(self.queue, item.workspace)
                 return [grant]
         limited = self._refuse_limited(ticket, graph, item, now_s)
         if limited:
             return limited
-        offered = queues.offer(self.queue, item, now_s)
+        offered = queues.enqueue(self.queue, item, now_s)
         if isinstance(offered, errors.Refusal):
             if ticket.begun:
                 return self._requeue_begun(ticket, item, now_s)
@@ -385,7 +388,7 @@
         waiting = sum(
             w.graph == item.graph for w in self.queue.waiting.values()
         )
-        if now_s + opening.get_turn_s(waiting) <= item.deadline_s:
+        if now_s + opening.estimate_wait_s(waiting) <= item.deadline_s:
             return []
         return self._refuse_ticket(
             item.id,
@@ -417,7 +420,7 @@
         limit_check = self._make_limit_check()
         while self.queue.waiting:
             started = False
-            for item in queues.order(
+            for item in queues.list_candidates(
                 self.queue,
                 lambda waiting: self._is_at_limit(waiting, limit_check),
             ):
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -70,11 +70,11 @@
     spent: Mapping[str, shared.Spent] = attrs.Factory(dict)
     # Upstreams that crashed under requests, by the request's fingerprint; empty
     # once the request was answered.
-    ended: Mapping[str, quarantine.Ends] = attrs.Factory(dict)
+    ended: Mapping[str, quarantine.CrashWeights] = attrs.Factory(dict)
     # The host started recently: its `spent` lacks what was spent before.
     is_new: bool = False
     # Rate limits that upstreams set or lifted.
-    limits: Mapping[str, throttle.Told] = attrs.Factory(dict)
+    limits: Mapping[str, throttle.PublishedLimit] = attrs.Factory(dict)
 
 
 @attrs.frozen
@@ -312,7 +312,7 @@
         Many new entries share one line: two hundred hosts that start before
         two hundred upstreams would otherwise write forty thousand lines.
         """
-        if len(entries) > decisions.NAMED:
+        if len(entries) > decisions.MAX_NAMED:
             names = _limit_ids([e.id for e in entries])
             self.log_events.append(
                 decisions.UpstreamsListed(len(entries), names)
@@ -496,7 +496,7 @@
         if entry.layers is None or kind is None:
             return None
         usage = self.memory.get_usage(entry.id, now_s)
-        size = room.compute_size(spec, entry) * room.USABLE
+        size = room.compute_capacity(spec, entry) * room.USABLE_FRACTION
         step_s = spec.step_s + usage.count * costs.request_s
         slow = self.paces.get(entry.id, now_s)
         read_s = slow * kind.read_factor * costs.chunk_s
@@ -608,7 +608,7 @@
             if candidate is None:
                 continue
             step_s += (part.last - part.first) * candidate.layer_s
-            size = room.compute_size(spec, entry) * room.USABLE
+            size = room.compute_capacity(spec, entry) * room.USABLE_FRACTION
             free = min(free, candidate.free / size if size else 0.0)
         return step_s, free
 
@@ -626,7 +626,7 @@
         usable = [
             e
             for e in self.list_usable(service, now_s)
-            if e.id not in refused and self.throttle.is_open(e.id, now_s)
+            if e.id not in refused and self.throttle.can_send(e.id, now_s)
         ]
         preferred = [e for e in usable if e.id not in avoid] or usable
         cut_off = self.list_cut_off(now_s)
@@ -650,4 +650,4 @@
 
 def _limit_ids(ids: Sequence[str]) -> tuple[str, ...]:
     """Returns the first ids, as many as a log line may name."""
-    return tuple(sorted(ids)[: decisions.NAMED])
+    return tuple(sorted(ids)[: decisions.MAX_NAMED])
--- a/egretspur/routing/network.py
+++ b/egretspur/routing/network.py
@@ -134,7 +134,9 @@
             n for n in self.upstreams if self.get_backoff_s(n, now_s)
         )
 
-    def get_incarnation_state(self, incarnation_id: str) -> quarantine.State:
+    def get_incarnation_state(
+        self, incarnation_id: str
+    ) -> quarantine.UpstreamState:
         """Returns whether an incarnation has ended, for a cut attempt.
 
         The upstream is not probed: the platform's list shows its next
@@ -145,8 +147,8 @@
             name not in self.upstreams
             or self.make_incarnation_id(name) != incarnation_id
         ):
-            return quarantine.State.ENDED
-        return quarantine.State.UNKNOWN
+            return quarantine.UpstreamState.CRASHED
+        return quarantine.UpstreamState.UNKNOWN
 
     def list_usable(self, service: str) -> list[tables.Upstream]:
         """Returns the usable replicas of a plain service."""
--- a/egretspur/routing/probes.py
+++ b/egretspur/routing/probes.py
@@ -75,7 +75,7 @@
     def _run(self) -> None:
         while not self._stop.wait(BUSY_TICK_S):
             self._desk.wait_busy(IDLE_TICK_S - BUSY_TICK_S)
-            with guard.surviving("tick"):
+            with guard.log_exceptions("tick"):
                 due = self._desk.tick()
                 for entry in due.probes:
                     self._pool.submit(self._probe_upstream, entry)
@@ -86,7 +86,7 @@
 
     def _probe_upstream(self, entry: upstreams.Upstream) -> None:
         report = None
-        with guard.surviving("probe"):
+        with guard.log_exceptions("probe"):
             report = self._probe(entry)
         # Sent also after an error; without a result, the upstream would never
         # be probed again.
--- a/egretspur/routing/returns.py
+++ b/egretspur/routing/returns.py
@@ -40,7 +40,7 @@
             waiting: Number of requests that wait for that on this host.
             now_s: Monotonic time.
         """
-        first_s = now_s + opening.get_turn_s(waiting)
+        first_s = now_s + opening.estimate_wait_s(waiting)
         at_s = max(first_s, self._next_retry_s.get(service, first_s))
         longest_s = now_s + MAX_RETRY_AFTER_S
         self._next_retry_s[service] = min(at_s + 1.0 / opening.per_s, longest_s)
--- a/egretspur/routing/tables.py
+++ b/egretspur/routing/tables.py
@@ -74,7 +74,7 @@
     # answered or released.
     ended: dict[str, dict[str, float]] = attrs.Factory(dict)
     # Rate limits that upstreams set or lifted, by incarnation.
-    limits: dict[str, throttle.Told] = attrs.Factory(dict)
+    limits: dict[str, throttle.PublishedLimit] = attrs.Factory(dict)
     # Number of entry hosts in all data centres, which may share an upstream.
     sharing: int = 1
 
@@ -100,7 +100,7 @@
     leaving: tuple[LeavingMark, ...]
     demand: dict[str, int]
     ended: dict[str, dict[str, float]] = attrs.Factory(dict)
-    limits: dict[str, throttle.Told] = attrs.Factory(dict)
+    limits: dict[str, throttle.PublishedLimit] = attrs.Factory(dict)
 
 
 def make_table(
--- a/tests/admission/sharing.py
+++ b/tests/admission/sharing.py
@@ -1,9 +1,9 @@
 """Hosts that share a retry budget: a model without network, and its oracle.
 
-Each host has the product's own `Repeats` and `Peers`; news go between them as
-`egretspur.membership.exchange` sends them. Hosts start again, data centres are
-cut off, news are late or lost. The oracle knows the requests and repeats of
-all hosts, and nothing else: in no window may there be more repeats than are
+Each host has the product's `RetryBudgets` and `Peers`; peer updates are passed
+between them as `egretspur.membership.exchange` sends them. Hosts restart, data
+centres are cut off, updates are late or lost. The oracle knows only the
+requests and retries of all hosts: no window may have more retries than are
 allowed for the requests in it, in the one before, or half a window before.
 """
 
@@ -25,107 +25,112 @@
 WINDOW_S: Final = 10.0
 RATIO: Final = 0.2
 
-# Between two news of a host; the hosts of one moment hear each other in turn.
-NEWS_S: Final = exchange.SEND_PERIOD_S
+# Interval between two updates of a host. The updates of one round are sent and
+# received one after the other.
+UPDATE_INTERVAL_S: Final = exchange.SEND_PERIOD_S
 
 
 @attrs.define(eq=False)
 class Host:
-    """One host: what it knows is gone when it starts again."""
+    """One host, whose state is lost when it restarts."""
 
     ip: str
-    place: str
-    repeats: repeats.Repeats
+    data_centre: str
+    repeats: repeats.RetryBudgets
     peers: exchange.Peers
-    # News that it has sent since its start, and whether it has had any.
-    turn: int = 0
-    has_heard: bool = False
-    # It is alone: it hears nobody, and nobody hears it.
+    # Updates sent since its start, and whether it has received any.
+    update_count: int = 0
+    has_received: bool = False
+    # Whether it neither sends nor receives updates.
     is_cut_off: bool = False
 
 
 class Fleet:
-    """All hosts, and the requests and repeats that they sent."""
+    """All hosts, and the requests and retries that they sent."""
 
     def __init__(
         self, sizes: Collection[int], allowance: float, rng: random.Random
     ) -> None:
-        """Starts hosts, of each data centre so many.
+        """Starts the hosts.
 
         Args:
-            sizes: Hosts of each data centre.
-            allowance: Repeats in a window beside those of requests.
-            rng: Draws which news are lost.
+            sizes: Number of hosts of each data centre.
+            allowance: Retries in a window in addition to those of requests.
+            rng: Draws which updates are lost.
         """
         self.now_s = 0.0
         self.rng = rng
-        self.lost = 0.0
-        # A host that starts has heard nobody.
+        self.loss_rate = 0.0
+        # A host that starts has not received any peer update.
         self.options = repeats.Options(RATIO, allowance, WINDOW_S, math.inf)
-        self.sent: list[float] = []
-        self.repeated: list[float] = []
-        # Data centres that hear no other.
-        self.apart: set[str] = set()
+        self.request_times: list[float] = []
+        self.retry_times: list[float] = []
+        # Data centres that are cut off from all others.
+        self.partitioned: set[str] = set()
         self.hosts: list[Host] = []
-        self._places = [f"dc-{d}" for d in range(len(sizes))]
-        # As in the settings: one host of each data centre.
+        self._data_centres = [f"dc-{d}" for d in range(len(sizes))]
+        # One host of each data centre, as in the settings.
         self._seeds = [f"10.{d}.0.1" for d in range(len(sizes))]
         for d, size in enumerate(sizes):
             for i in range(size):
-                self.add(f"10.{d}.0.{i + 1}", self._places[d])
+                self.add(f"10.{d}.0.{i + 1}", self._data_centres[d])
 
-    def add(self, ip: str, place: str) -> Host:
+    def add(self, ip: str, data_centre: str) -> Host:
         """Adds a host, which has just started."""
-        host = Host(ip, place, *self._make_state(ip, place))
+        host = Host(ip, data_centre, *self._make_state(ip, data_centre))
         self.hosts.append(host)
         return host
 
-    def start_again(self, hosts: Iterable[Host]) -> None:
-        """Starts hosts again: they know nothing of before."""
+    def restart(self, hosts: Iterable[Host]) -> None:
+        """Restarts hosts, which lose their state."""
         for host in hosts:
-            host.repeats, host.peers = self._make_state(host.ip, host.place)
-            host.turn = 0
-            host.has_heard = False
+            host.repeats, host.peers = self._make_state(
+                host.ip, host.data_centre
+            )
+            host.update_count = 0
+            host.has_received = False
 
     def _make_state(
-        self, ip: str, place: str
-    ) -> tuple[repeats.Repeats, exchange.Peers]:
+        self, ip: str, data_centre: str
+    ) -> tuple[repeats.RetryBudgets, exchange.Peers]:
         return (
-            repeats.Repeats(place, self.options, self.rng),
-            exchange.Peers(ip, place, self._seeds, self.rng, self._places),
+            repeats.RetryBudgets(data_centre, self.options, self.rng),
+            exchange.Peers(
+                ip, data_centre, self._seeds, self.rng, self._data_centres
+            ),
         )
 
-    def request(self, host: Host) -> None:
+    def send_request(self, host: Host) -> None:
         """Has a host send a request."""
         host.repeats.earn(SERVICE, self.now_s)
-        self.sent.append(self.now_s)
+        self.request_times.append(self.now_s)
 
-    def repeat(self, host: Host, most: int) -> None:
-        """Has a host repeat as much as it may."""
-        for _ in range(most):
+    def send_retries(self, host: Host, max_count: int) -> None:
+        """Has a host send all retries that it may, up to a maximum."""
+        for _ in range(max_count):
             if not host.repeats.spend(SERVICE, self.now_s):
                 return
-            self.repeated.append(self.now_s)
+            self.retry_times.append(self.now_s)
 
-    def tell(self) -> None:
-        """Has each host send its news once, in a random order."""
+    def send_updates(self) -> None:
+        """Has each host send its update once, in random order."""
         for host in self.rng.sample(self.hosts, len(self.hosts)):
-            self._tell(host)
+            self._send_update(host)
         for host in self.hosts:
             sharing = host.peers.count_budget_sharers()
-            if host.has_heard:
+            if host.has_received:
                 host.repeats.hosts = max(sharing, len(self._seeds))
 
-    def _tell(self, host: Host) -> None:
-        host.turn += 1
-        names = host.turn % exchange.PEER_LIST_INTERVAL == 0
+    def _send_update(self, host: Host) -> None:
+        host.update_count += 1
+        names = host.update_count % exchange.PEER_LIST_INTERVAL == 0
         named = host.peers.list_recent(self.now_s) if names else {}
         is_speaker = host.peers.is_speaker(self.now_s)
         far = host.peers.list_remote(self.now_s)
         own = host.repeats.list_spent(self.now_s)
         self._send(host, host.peers.list_local(self.now_s), own, named)
         if is_speaker:
-            summed = host.repeats.sum_spent(self.now_s)
+            summed = host.repeats.sum_local(self.now_s)
             self._send(host, far, summed, named)
 
     def _send(
@@ -137,12 +142,12 @@
     ) -> None:
         news = self._make_news(sender, spent, named)
         for host in self._find_reached(sender, to):
-            self._take(host, news)
-            is_far = host.place != sender.place
+            self._receive(host, news)
+            is_far = host.data_centre != sender.data_centre
             if is_far and host.peers.is_speaker(self.now_s):
                 near = host.peers.list_local(self.now_s)
                 for other in self._find_reached(host, near):
-                    self._take(other, news)
+                    self._receive(other, news)
 
     def _find_reached(self, sender: Host, to: Collection[str]) -> list[Host]:
         """Returns the hosts that a datagram reaches."""
@@ -158,7 +163,7 @@
         known = reading.Known(1, 1, 0.0)
         return datagrams.PeerUpdate(
             sender.ip,
-            sender.place,
+            sender.data_centre,
             0.0,
             known,
             {},
@@ -173,34 +178,35 @@
     def _reaches(self, sender: Host, host: Host) -> bool:
         if sender is host or sender.is_cut_off or host.is_cut_off:
             return False
-        if sender.place != host.place and {sender.place, host.place} & (
-            self.apart
-        ):
+        if sender.data_centre != host.data_centre and {
+            sender.data_centre,
+            host.data_centre,
+        } & (self.partitioned):
             return False
-        return self.rng.random() >= self.lost
+        return self.rng.random() >= self.loss_rate
 
-    def _take(self, host: Host, news: datagrams.PeerUpdate) -> None:
-        host.has_heard = True
+    def _receive(self, host: Host, news: datagrams.PeerUpdate) -> None:
+        host.has_received = True
         host.peers.record_update(news, self.now_s)
-        host.repeats.hear(
+        host.repeats.apply_peer_update(
             news.host, news.data_centre, news.spent, self.now_s, news.is_new
         )
 
-    def find_worst(self) -> tuple[float, int, float]:
-        """Returns the worst window: part of what was allowed, sent, allowed."""
+    def find_worst_window(self) -> tuple[float, int, float]:
+        """Returns the worst window: fraction of allowed, sent, allowed."""
         worst = (0.0, 0, 0.0)
-        for i, start_s in enumerate(self.repeated):
+        for i, start_s in enumerate(self.retry_times):
             end_s = start_s + WINDOW_S
-            sent = bisect.bisect_left(self.repeated, end_s) - i
+            sent = bisect.bisect_left(self.retry_times, end_s) - i
             allowed = self._get_allowed(start_s)
             worst = max(worst, (sent / allowed, sent, allowed))
         return worst
 
     def _get_allowed(self, start_s: float) -> float:
-        """Returns the repeats allowed in the window that begins then."""
+        """Returns the retries allowed in the window that begins then."""
         counts = [
-            bisect.bisect_left(self.sent, at_s + WINDOW_S)
-            - bisect.bisect_left(self.sent, at_s)
+            bisect.bisect_left(self.request_times, at_s + WINDOW_S)
+            - bisect.bisect_left(self.request_times, at_s)
             for at_s in (start_s, start_s - WINDOW_S / 2, start_s - WINDOW_S)
         ]
         return self.options.allowance + RATIO * max(counts)
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -85,7 +85,7 @@
     # Whether a datagram between two hosts arrives.
     is_delivered: Callable[[peers.Host, peers.Host], bool] = lambda a, b: True
     # The quarantine as the store has it.
-    stored: dict[str, quarantine.Ends] = attrs.Factory(dict)
+    stored: dict[str, quarantine.CrashWeights] = attrs.Factory(dict)
     # Whether fatal requests produce part of their answer before the crash.
     crashes_after_output: bool = False
 
@@ -128,7 +128,7 @@
 
     def count_held(self) -> list[int]:
         """Returns how many requests each host has in quarantine."""
-        return [len(h.state.quarantine.list_held()) for h in self.hosts]
+        return [len(h.state.quarantine.list_quarantined()) for h in self.hosts]
 
     def start_engine(self, place: str, layers: str) -> None:
         """Starts an engine and lists it."""
@@ -237,7 +237,7 @@
 
     def _save(self, host: peers.Host) -> None:
         for change in host.state.take_unsaved():
-            self.stored[change.fingerprint] = change.ends
+            self.stored[change.fingerprint] = change.crashes
             for other in self.hosts:
                 self.read_store(other)
 
--- a/tests/routing/routers.py
+++ b/tests/routing/routers.py
@@ -63,9 +63,9 @@
 
     def update(self) -> None:
         """Sends each router an update with the latest state of all routers."""
-        newest: dict[str, throttle.Told] = {}
+        newest: dict[str, throttle.PublishedLimit] = {}
         for router in self.routers:
-            for start, limit in router.availability.throttle.list_told(
+            for start, limit in router.availability.throttle.list_updates(
                 self.now_s
             ).items():
                 known = newest.get(start)
@@ -76,7 +76,7 @@
             self._run_effects(router, router.update(update, self.now_s))
 
     def _make_update(
-        self, limits: dict[str, throttle.Told]
+        self, limits: dict[str, throttle.PublishedLimit]
     ) -> tables.RoutingUpdate:
         table = tables.RoutingTable(
             1,
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -82,7 +82,7 @@
 @then("only that one is quarantined, at every host")
 def step_only_one(context: Any) -> None:
     for host in context.world.hosts:
-        assert list(host.state.quarantine.list_held()) == [crashes.FATAL]
+        assert list(host.state.quarantine.list_quarantined()) == [crashes.FATAL]
 
 
 @then("none of the others was refused as quarantined")
@@ -366,7 +366,7 @@
     context.written = []
     context.problem = "no answer"
 
-    def write(name: str, ends: quarantine.Ends) -> str:
+    def write(name: str, ends: quarantine.CrashWeights) -> str:
         if not context.problem:
             context.written.append((name, ends))
         return str(context.problem)
