--- a/egretspur/orders/__init__.py
+++ b/egretspur/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Leases and orders to engines, from one holder per data centre."""
+"""Order lease and engine orders; one holder per data centre at a time."""
--- a/egretspur/orders/actor.py
+++ b/egretspur/orders/actor.py
@@ -1,7 +1,7 @@
-"""Actor that asks for the lease and, while it holds it, gives orders.
+"""Actor that acquires the order lease and sends orders while it holds it.
 
-Every daemon runs one; the lease decides whose acts. Read
-`egretspur.orders.lease` and `egretspur.orders.steps` for the decisions.
+Every control daemon runs one; only the lease holder's sends orders. The
+decisions are in `egretspur.orders.lease` and `egretspur.orders.steps`.
 """
 
 from __future__ import annotations
@@ -27,28 +27,28 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-THREADS: Final = 4
+POOL_THREADS: Final = 4
 
 
 @attrs.frozen
 class Tick:
-    """Time to look at the lease and at engines."""
+    """Starts one round: update the lease, poll engines, send orders."""
 
 
 @attrs.frozen
 class GetSummary:
-    """Asks for a `Summary`."""
+    """Requests a `Summary`."""
 
 
 @attrs.frozen
 class Summary:
-    """What the actor is doing, for the state dump."""
+    """The actor's state and counters, for the state dump."""
 
     lease_offset: int
     lease_left_s: float
     orders_sent: int
     orders_refused: int
-    # Times an upstream held what was not wanted and was corrected.
+    # Accepted orders that removed holdings which an upstream should not have.
     corrections: int
     repairs: tuple[steps.Repair, ...]
     silent: tuple[str, ...]
@@ -56,20 +56,20 @@
 
 @attrs.frozen
 class Effects:
-    """What the actor may do besides talking to engines."""
+    """Actions on other parts of the daemon."""
 
     # Appends a record; False if the log did not answer.
     append: Callable[[records.Record], bool]
-    # An engine said that this incarnation of it is leaving.
+    # Called with name and incarnation of an engine that reports leaving.
     note_leaving: Callable[[str, str], None]
 
 
 class OrdersActor(actors.Actor):
-    """Holds the lease state of one daemon; see the messages above."""
+    """Owns the lease state of one daemon; handles the messages above."""
 
     def __init__(
         self,
-        me: str,
+        own_id: str,
         data_centre: str,
         opts: settings.LeaseSettings,
         config: configs.Config,
@@ -78,25 +78,25 @@
     ) -> None:
         super().__init__()
         self._opts = opts
-        self._bounds = leases.Options(
+        self._lease_opts = leases.Options(
             opts.duration_s, opts.margin_s, opts.flight_s
         )
         self._config = config
         self._hosts = hosts
         self._effects = effects
-        self._lease = leases.LeaseState(me, data_centre)
+        self._lease = leases.LeaseState(own_id, data_centre)
         self._engines = engine.EngineClient(
             opts.flight_s / 2, opts.flight_s / 2, opts.flight_s / 2
         )
         self._pool = concurrent.futures.ThreadPoolExecutor(
-            THREADS, thread_name_prefix="orders"
+            POOL_THREADS, thread_name_prefix="orders"
         )
-        self._reported: dict[str, engine.EngineStatus] = {}
-        self._silent_since: dict[str, float] = {}
+        self._statuses: dict[str, engine.EngineStatus] = {}
+        self._silent_since_s: dict[str, float] = {}
         self._seen_hosts: dict[str, hostlist.Host] = {}
         self._drains = steps.Drains()
         self._repairs: list[steps.Repair] = []
-        self._audit_place = 0
+        self._audit_index = 0
         self._audit_credit = 0.0
         self._last_tick_s = 0.0
         self._sent = 0
@@ -123,14 +123,16 @@
             self._refused,
             self._corrections,
             tuple(self._repairs),
-            tuple(sorted(self._silent_since)),
+            tuple(sorted(self._silent_since_s)),
         )
 
     @handle.register
     def _(self, message: Tick) -> None:
-        self._look_at_lease()
-        if not leases.may_send(self._lease, self._bounds, time.monotonic()):
-            self._forget_engines()
+        self._update_lease()
+        if not leases.get_send_fence(
+            self._lease, self._lease_opts, time.monotonic()
+        ):
+            self._clear_engine_state()
             return
         now = time.monotonic()
         passed = min(now - self._last_tick_s, 1.0)
@@ -138,22 +140,22 @@
         self._audit_credit += passed * self._opts.audit_per_s
         wanted, pending = self._config.read(self._compute_targets)
         self._poll(wanted, pending)
-        self._give_orders(wanted)
+        self._send_due_orders(wanted)
         self._report_prepared()
         self._finish_repairs()
         self._begin_repairs()
 
-    def _look_at_lease(self) -> None:
+    def _update_lease(self) -> None:
         now = time.monotonic()
         folded, ids = self._config.read(self._get_lease)
         leases.observe(self._lease, folded, ids, now)
-        ask = leases.decide(self._lease, self._bounds, now)
-        if isinstance(ask, leases.Wait):
+        decision = leases.decide(self._lease, self._lease_opts, now)
+        if isinstance(decision, leases.Wait):
             return
         record = leases.make_record(
             self._lease,
-            self._bounds,
-            ask,
+            self._lease_opts,
+            decision,
             f"lease-{uuid.uuid4().hex}",
             time.time_ns() // 1_000_000,
             now,
@@ -163,10 +165,10 @@
     def _get_lease(
         self, state: states.State
     ) -> tuple[states.Lease | None, dict[str, int]]:
-        asked = self._lease.asked
+        request = self._lease.pending_request
         ids = {}
-        if asked is not None and asked.record_id in state.ids:
-            ids[asked.record_id] = state.ids[asked.record_id]
+        if request is not None and request.record_id in state.ids:
+            ids[request.record_id] = state.ids[request.record_id]
         return state.leases.get(self._lease.data_centre), ids
 
     def _compute_targets(
@@ -186,11 +188,11 @@
                     )
         return wanted, frozenset(pending)
 
-    def _forget_engines(self) -> None:
-        """Drops what was learned under a lease that is no longer held."""
-        self._reported.clear()
-        self._silent_since.clear()
-        self._drains.since_s.clear()
+    def _clear_engine_state(self) -> None:
+        """Discards engine state collected under a lease no longer held."""
+        self._statuses.clear()
+        self._silent_since_s.clear()
+        self._drains.unwanted_since_s.clear()
         self._repairs.clear()
 
     def _poll(
@@ -202,35 +204,36 @@
             if h.role is hostlist.Role.ENGINE
         }
         self._seen_hosts.update(local)
-        names = self._choose_polled(wanted, pending, local)
+        names = self._select_engines_to_poll(wanted, pending, local)
         found = self._pool.map(
             lambda n: (n, self._engines.get_status(local[n].address)), names
         )
         now = time.monotonic()
         for name, status in found:
             if isinstance(status, errors.Refusal):
-                self._silent_since.setdefault(name, now)
-                self._reported.pop(name, None)
+                self._silent_since_s.setdefault(name, now)
+                self._statuses.pop(name, None)
                 continue
-            self._silent_since.pop(name, None)
-            self._reported[name] = status
+            self._silent_since_s.pop(name, None)
+            self._statuses[name] = status
             if status.leaving:
                 self._effects.note_leaving(name, status.incarnation)
 
-    def _choose_polled(
+    def _select_engines_to_poll(
         self,
         wanted: dict[str, steps.Wanted],
         pending: frozenset[str],
         local: dict[str, hostlist.Host],
     ) -> list[str]:
-        """Returns engines to ask now: those with something due, and a few more.
+        """Returns the engines to poll now: those with work due and a few more.
 
-        Asking all 1,484 engines of a data centre of the target's size every
-        half second would take a hundred times the budget for control.
+        The others are polled in turn, at the audit rate. Polling all 1,484
+        engines of a data centre of the target size every half second would
+        take a hundred times the budget for control traffic.
         """
-        busy = set(pending) | set(self._silent_since)
+        busy = set(pending) | set(self._silent_since_s)
         busy.update(r.spare for r in self._repairs)
-        for name, status in self._reported.items():
+        for name, status in self._statuses.items():
             want = wanted.get(name)
             holds = frozenset(status.holdings)
             if status.loading or (want.holdings if want else None) != (
@@ -241,29 +244,31 @@
         count = min(int(self._audit_credit), len(names))
         self._audit_credit -= count
         for _ in range(count):
-            self._audit_place = (self._audit_place + 1) % len(names)
-            busy.add(names[self._audit_place])
+            self._audit_index = (self._audit_index + 1) % len(names)
+            busy.add(names[self._audit_index])
         return sorted(n for n in busy if n in local)
 
-    def _give_orders(self, wanted: dict[str, steps.Wanted]) -> None:
-        due = steps.find_due(
+    def _send_due_orders(self, wanted: dict[str, steps.Wanted]) -> None:
+        due = steps.find_due_orders(
             wanted,
-            self._reported,
+            self._statuses,
             self._drains,
             self._opts.drain_s,
             time.monotonic(),
         )
-        due = steps.limit_loads(due, self._reported, self._opts.loads_at_once)
-        list(self._pool.map(self._give_order, due))
+        due = steps.limit_loads(due, self._statuses, self._opts.loads_at_once)
+        list(self._pool.map(self._send_order, due))
 
-    def _give_order(self, due: steps.Due) -> None:
+    def _send_order(self, due: steps.DueOrder) -> None:
         host = self._hosts.get_local().get(due.upstream)
         if host is None:
             return
-        # Checked in the last moment before the send. Were it checked once for
-        # the whole batch, a process paused in between would send the rest
-        # under a lease that another daemon holds by now.
-        fence = leases.may_send(self._lease, self._bounds, time.monotonic())
+        # Checked directly before each send. With one check for the whole
+        # batch, a process paused in between would send the remaining orders
+        # after another daemon has taken the lease.
+        fence = leases.get_send_fence(
+            self._lease, self._lease_opts, time.monotonic()
+        )
         if not fence:
             return
         order = engine.Order(fence, due.holdings, due.priority)
@@ -272,26 +277,26 @@
         if isinstance(res, errors.Refusal):
             self._refused += 1
             _LOG.warning(
-                "order not taken",
+                "order not accepted by engine",
                 extra={"upstream": due.upstream, "reason": res.reason},
             )
             return
-        have = set(self._reported[due.upstream].holdings)
+        have = set(self._statuses[due.upstream].holdings)
         if have - set(due.holdings):
             self._corrections += 1
 
     def _report_prepared(self) -> None:
         data_centre = self._lease.data_centre
         done: Sequence[str] = self._config.read(
-            lambda s: steps.find_prepared(s, data_centre, self._reported)
+            lambda s: steps.find_prepared(s, data_centre, self._statuses)
         )
         for plan_id in done:
             fence = self._lease.held_offset
             self._effects.append(
                 records.Prepared(
-                    # Equal for every try under this lease.
+                    # The same id for every retry under this lease.
                     f"prepared-{plan_id}-{data_centre}-{fence}",
-                    self._lease.me,
+                    self._lease.own_id,
                     time.time_ns() // 1_000_000,
                     plan_id,
                     data_centre,
@@ -303,7 +308,7 @@
         now = time.monotonic()
         dead = [
             n
-            for n, since in self._silent_since.items()
+            for n, since in self._silent_since_s.items()
             if now - since > self._opts.dead_after_s
         ]
         listed = self._hosts.get_local()
@@ -314,7 +319,7 @@
         used = set(self._config.read(self._compute_targets)[0])
         spares = [
             n
-            for n, status in sorted(self._reported.items())
+            for n, status in sorted(self._statuses.items())
             if n not in used and not status.leaving and n in listed
         ]
         smallest = min(
@@ -335,14 +340,14 @@
 
     def _finish_repairs(self) -> None:
         for repair in list(self._repairs):
-            status = self._reported.get(repair.spare)
+            status = self._statuses.get(repair.spare)
             if status is None or repair.holding not in status.holdings:
                 continue
             fence = self._lease.held_offset
             taken = self._effects.append(
                 records.Repaired(
                     f"repaired-{repair.deployment_id}-{repair.dead}-{fence}",
-                    self._lease.me,
+                    self._lease.own_id,
                     time.time_ns() // 1_000_000,
                     repair.deployment_id,
                     self._lease.data_centre,
--- a/egretspur/orders/ranges.py
+++ b/egretspur/orders/ranges.py
@@ -1,9 +1,9 @@
-"""Gives engines of a data centre their layers, as long as the duty is held.
+"""Assigns layers to the engines of a data centre while the duty is held.
 
-Level-triggered: each round compares what engines hold with what they should,
-and orders only the difference. An order that brings nothing new changes
-nothing, so one that is repeated or carried out late does no harm; a late one
-that does is seen in the engines' list and put right.
+Level-triggered: each round compares the layers that engines hold with those
+they should hold and orders only the difference. An order for layers already
+held changes nothing, so repeated and late orders are harmless; a late order
+that does change layers shows in the upstream list and is corrected.
 """
 
 from __future__ import annotations
@@ -19,82 +19,81 @@
 from egretspur.catalog import config, upstreams
 from egretspur.placement import ranges
 
-# Seconds between two rounds.
-PERIOD_S: Final = 0.25
+ROUND_PERIOD_S: Final = 0.25
 
-# An order is given up so long after it should have been done.
-OVERDUE_S: Final = 3.0
+# Time after the expected end of a load at which its order is given up.
+ORDER_OVERDUE_S: Final = 3.0
 
-# After a host took the duty it gives no orders for so long: its list may
-# still lack what the last holder ordered.
-SETTLE_S: Final = 1.0
+# Time without orders after a host takes the duty: its list may not yet show
+# what the previous holder ordered.
+DUTY_SETTLE_S: Final = 1.0
 
-# The first layout waits until no engine has been added for so long. Engines
-# enter the list one by one within a heartbeat; a layout made from a few of
-# them would crowd the layers on those.
-COMPLETE_S: Final = 1.6
+# The first layout waits until the set of engines has not changed for this
+# time. Engines enter the list one by one within a heartbeat; a layout of the
+# first few would put all layers on those.
+LIST_SETTLE_S: Final = 1.6
 
-
-# An empty engine counts as new for so long.
-NEW_S: Final = 3.0
+# Time for which an engine counts as new after it is first listed; new engines
+# get no copies of layers that others hold.
+NEW_ENGINE_S: Final = 3.0
 
 
 class Engines(Protocol):
-    """Reports of engines and orders to them."""
+    """Client that reads engine reports and sends orders."""
 
     def get_report(self, address: str) -> upstreams.EngineReport | str:
-        """Returns a report, or why there is none."""
+        """Returns an engine's report, or why there is none."""
 
     def place(
         self, address: str, layers: upstreams.Layers, expected: int
     ) -> str:
-        """Orders a range; returns why it may not have been taken."""
+        """Orders a range; empty, or why it may not have been accepted."""
 
 
 class Duty(Protocol):
-    """The lease under which orders are given."""
+    """The lease under which orders are sent."""
 
     def is_held(self) -> bool:
-        """Tells whether orders may be given now."""
+        """Tells whether orders may be sent now."""
 
 
 class View(Protocol):
-    """What the rest of the host knows and is told."""
+    """The host's state that rounds read and update."""
 
     def look(self) -> Scene:
-        """Returns what a round looks at."""
+        """Returns the input of a round."""
 
     def learn(self, upstream_id: str, layers: upstreams.Layers) -> None:
-        """Told what an engine reports to hold."""
+        """Records the layers that an engine reports to hold."""
 
 
 @attrs.frozen
 class Scene:
-    """What a round looks at."""
+    """Input of a round."""
 
     cfg: config.Configuration | None
-    # Engines that are neither leaving nor dead, of this data centre and of
-    # the others.
+    # Engines of this data centre and of the others, without those that are
+    # leaving or dead.
     engines: tuple[upstreams.Upstream, ...]
     elsewhere: tuple[upstreams.Upstream, ...]
-    # Those that no request uses, by id.
+    # Ids of engines that no request uses.
     idle: frozenset[str]
-    # Those too slow for prompt answers: their layers are given to others as
-    # if they were lost, and they get no new ones.
+    # Ids of engines too slow to answer in time: their layers are reassigned
+    # as if the engines were lost, and they get no new ones.
     late: frozenset[str] = frozenset()
 
 
 @attrs.frozen
-class _Given:
+class _SentOrder:
     layers: upstreams.Layers
     sent_s: float
-    until_s: float
-    # The engine has said that it holds them.
+    expires_s: float
+    # The engine has reported that it holds them.
     is_done: bool = False
 
 
 class RangeKeeper:
-    """Keeps the layers of one data centre's engines as they should be."""
+    """Reconciles the layers of one data centre's engines with the plan."""
 
     def __init__(
         self,
@@ -107,12 +106,11 @@
         self._engines = engines
         self._view = view
         self._clock = clock
-        self._given: dict[str, _Given] = {}
+        self._sent_orders: dict[str, _SentOrder] = {}
         self._held_since_s: float | None = None
-        # When each engine was first seen.
-        self._first_seen: dict[str, float] = {}
-        # Engines of each service and when that set last changed.
-        self._seen: dict[str, tuple[frozenset[str], float]] = {}
+        self._first_seen_s: dict[str, float] = {}
+        # Engines of each service and when this set last changed.
+        self._engine_sets: dict[str, tuple[frozenset[str], float]] = {}
         self._stop = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="ranges", daemon=True
@@ -127,33 +125,33 @@
         self._stop.set()
 
     def _run(self) -> None:
-        while not self._stop.wait(PERIOD_S):
+        while not self._stop.wait(ROUND_PERIOD_S):
             with guard.surviving("ranges"):
                 self.run_round()
 
     def run_round(self) -> None:
-        """Compares and orders once."""
+        """Compares layers and sends orders once."""
         now_s = self._clock()
         if not self._duty.is_held():
             self._held_since_s = None
-            self._given.clear()
+            self._sent_orders.clear()
             return
         if self._held_since_s is None:
             self._held_since_s = now_s
-        if now_s - self._held_since_s < SETTLE_S:
+        if now_s - self._held_since_s < DUTY_SETTLE_S:
             return
         scene = self._view.look()
         if scene.cfg is None:
             return
         present = {e.id for e in scene.engines}
-        self._first_seen = {
-            i: t for i, t in self._first_seen.items() if i in present
+        self._first_seen_s = {
+            i: t for i, t in self._first_seen_s.items() if i in present
         }
         for service in scene.cfg.find_engine_services():
             assert service.engine is not None
-            self._keep(service.name, service.engine, scene, now_s)
+            self._reconcile(service.name, service.engine, scene, now_s)
 
-    def _keep(
+    def _reconcile(
         self,
         service: str,
         spec: config.EngineSpec,
@@ -168,18 +166,18 @@
             and e.id not in scene.late
         }
         for entry in found.values():
-            self._read_back(entry, now_s)
+            self._check_order(entry, now_s)
         engines = [
             ranges.Engine(
                 e.id,
                 spec.accelerators[e.accelerator],
-                self._get_held(e),
+                self._get_expected_layers(e),
                 self._is_new(e.id, now_s),
                 e.id in scene.idle,
             )
             for e in found.values()
         ]
-        if not self._is_complete(service, engines, now_s):
+        if not self._is_list_settled(service, engines, now_s):
             return
         others = [
             e.layers
@@ -190,107 +188,113 @@
         ]
         orders = ranges.plan_orders(engines, spec, others)
         for engine_id, layers in orders.items():
-            # Looked at before each order: the thread may have been paused.
+            # Checked before each order: the thread may have been paused.
             if not self._duty.is_held():
                 return
-            self._order(found[engine_id], layers, spec)
+            self._send_order(found[engine_id], layers, spec)
 
-    def _is_complete(
+    def _is_list_settled(
         self, service: str, engines: Sequence[ranges.Engine], now_s: float
     ) -> bool:
-        """Tells whether the list suffices to plan from."""
+        """Tells whether the list is complete enough to plan from."""
         ids = frozenset(e.id for e in engines)
-        seen, since_s = self._seen.get(service, (frozenset(), now_s))
+        seen, since_s = self._engine_sets.get(service, (frozenset(), now_s))
         if ids != seen:
             since_s = now_s
-            self._seen[service] = (ids, now_s)
+            self._engine_sets[service] = (ids, now_s)
         is_first = all(e.held is None for e in engines)
-        return not is_first or now_s - since_s >= COMPLETE_S
+        return not is_first or now_s - since_s >= LIST_SETTLE_S
 
-    def _order(
+    def _send_order(
         self,
         entry: upstreams.Upstream,
         layers: upstreams.Layers,
         spec: config.EngineSpec,
     ) -> None:
-        problem = self._place(entry, layers)
+        problem = self._place_checked(entry, layers)
         now_s = self._clock()
         load_s = 2 * spec.load_s * layers.count / spec.layers
-        self._given[entry.id] = _Given(
-            layers, now_s, now_s + load_s + OVERDUE_S
+        self._sent_orders[entry.id] = _SentOrder(
+            layers, now_s, now_s + load_s + ORDER_OVERDUE_S
         )
         decisions.record(
             decisions.OrderGiven(entry.id, layers.first, layers.last, problem)
         )
 
-    def _place(
+    def _place_checked(
         self, entry: upstreams.Upstream, layers: upstreams.Layers
     ) -> str:
-        """Sends one order; returns why it may not have been taken.
+        """Sends one order; returns why it may not have been accepted.
 
-        It names the orders the engine has begun so far: one that is delayed
-        on its way then fails instead of undoing a later one.
+        The order carries the number of orders the engine has begun so far, so
+        that an order delayed in transit fails instead of undoing a later one.
         """
         report = self._engines.get_report(entry.address)
         if isinstance(report, str):
             return report
         if upstreams.is_other_start(entry, report):
-            return "of another start than its entry"
+            return "report is from another start than the list entry"
         if report.layers == layers:
             return ""
         if report.is_busy:
-            return "busy with another order"
+            return "engine is busy with another order"
         if not self._duty.is_held():
-            return "duty lapsed"
+            return "duty expired before the order was sent"
         return self._engines.place(entry.address, layers, report.orders)
 
-    def _read_back(self, entry: upstreams.Upstream, now_s: float) -> None:
-        """Looks whether an engine has done what it was ordered.
+    def _check_order(self, entry: upstreams.Upstream, now_s: float) -> None:
+        """Checks whether an engine has carried out its last order.
 
-        Its entry in the list would tell only a heartbeat later, and not at
-        all while the store is away.
+        The list shows this a heartbeat later, and not at all while the store
+        is unavailable, so the engine is polled.
         """
-        given = self._given.get(entry.id)
-        if given is None:
+        order = self._sent_orders.get(entry.id)
+        if order is None:
             return
-        if entry.layers == given.layers:
-            if not given.is_done:
-                # The list was faster; others are told of what it shows.
-                _record_done(entry.id, given, now_s)
-            del self._given[entry.id]
+        if entry.layers == order.layers:
+            if not order.is_done:
+                # The list showed it before the engine was polled; other hosts
+                # read the list too and need no update.
+                _record_done(entry.id, order, now_s)
+            del self._sent_orders[entry.id]
             return
-        if now_s >= given.until_s:
-            del self._given[entry.id]
+        if now_s >= order.expires_s:
+            del self._sent_orders[entry.id]
             return
-        if given.is_done:
+        if order.is_done:
             return
         report = self._engines.get_report(entry.address)
         if (
             isinstance(report, str)
             or upstreams.is_other_start(entry, report)
-            or report.layers != given.layers
+            or report.layers != order.layers
         ):
             return
-        # Kept until the view shows it: the entry at hand is from before.
-        self._given[entry.id] = attrs.evolve(given, is_done=True)
-        self._view.learn(entry.id, given.layers)
-        _record_done(entry.id, given, now_s)
+        # Kept until the list shows the layers: this entry is older.
+        self._sent_orders[entry.id] = attrs.evolve(order, is_done=True)
+        self._view.learn(entry.id, order.layers)
+        _record_done(entry.id, order, now_s)
 
     def _is_new(self, engine_id: str, now_s: float) -> bool:
-        return now_s - self._first_seen.setdefault(engine_id, now_s) < NEW_S
+        return (
+            now_s - self._first_seen_s.setdefault(engine_id, now_s)
+            < NEW_ENGINE_S
+        )
 
-    def _get_held(self, entry: upstreams.Upstream) -> upstreams.Layers | None:
-        """Returns what an engine holds once its last order is done."""
-        given = self._given.get(entry.id)
-        return entry.layers if given is None else given.layers
+    def _get_expected_layers(
+        self, entry: upstreams.Upstream
+    ) -> upstreams.Layers | None:
+        """Returns the layers an engine holds once its last order is done."""
+        order = self._sent_orders.get(entry.id)
+        return entry.layers if order is None else order.layers
 
 
-def _record_done(engine_id: str, given: _Given, now_s: float) -> None:
+def _record_done(engine_id: str, order: _SentOrder, now_s: float) -> None:
     decisions.record(
         decisions.OrderDone(
             engine_id,
-            given.layers.first,
-            given.layers.last,
-            now_s - given.sent_s,
+            order.layers.first,
+            order.layers.last,
+            now_s - order.sent_s,
         )
     )
--- a/egretspur/orders/steps.py
+++ b/egretspur/orders/steps.py
@@ -1,8 +1,8 @@
-"""What orders are due: pure, from the folded state and what engines report.
+"""Computes due orders from the folded state and engine reports; pure.
 
-Level-triggered: wanted holdings are compared with reported ones, so an order
-that was lost, came twice or came late from an old holder is put right by the
-next look, whoever looks.
+Level-triggered: each round compares wanted holdings with reported ones. An
+order that was lost, duplicated or delivered late from a former lease holder is
+therefore corrected in the next round, whichever daemon runs it.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from egretspur.intents import records
 from egretspur.intents import state as states
 
-# Priority at the weight store of loads nobody asked for by intent.
+# Weight-store priority of loads that repair a chain; no intent sets it.
 REPAIR_PRIORITY: Final = 100
 
 
 @attrs.frozen
 class Wanted:
-    """Holdings an upstream should have, and how urgent its loads are."""
+    """Holdings an upstream should have, and the priority of its loads."""
 
     holdings: frozenset[engine.Holding]
     priority: int
 
 
 @attrs.frozen
-class Due:
-    """Effect: give this order to an upstream."""
+class DueOrder:
+    """Effect: send this order to an upstream."""
 
     upstream: str
     holdings: tuple[engine.Holding, ...]
@@ -42,12 +42,14 @@
     """Holdings no longer wanted, kept for requests in flight."""
 
     # Monotonic time at which a holding was first seen as unwanted.
-    since_s: dict[tuple[str, engine.Holding], float] = attrs.Factory(dict)
+    unwanted_since_s: dict[tuple[str, engine.Holding], float] = attrs.Factory(
+        dict
+    )
 
 
 @attrs.frozen
 class Repair:
-    """Effect: load a spare in the place of a dead upstream."""
+    """Effect: load the layers of a dead upstream on a spare."""
 
     deployment_id: str
     dead: str
@@ -82,14 +84,14 @@
     }
 
 
-def find_due(
+def find_due_orders(
     wanted: Mapping[str, Wanted],
     reported: Mapping[str, engine.EngineStatus],
     drains: Drains,
     drain_s: float,
     now_s: float,
-) -> list[Due]:
-    """Returns the orders to give now, most urgent first.
+) -> list[DueOrder]:
+    """Returns the orders to send now, highest priority first.
 
     Args:
         wanted: From `compute_wanted`.
@@ -106,20 +108,20 @@
         kept = _find_draining(name, status, want, drains, drain_s, now_s)
         target = want.holdings | kept
         if target != have:
-            due.append(Due(name, sort_holdings(target), want.priority))
+            due.append(DueOrder(name, sort_holdings(target), want.priority))
     due.sort(key=lambda d: (-d.priority, d.upstream))
     return due
 
 
 def limit_loads(
-    due: list[Due],
+    due: list[DueOrder],
     reported: Mapping[str, engine.EngineStatus],
     at_once: int,
-) -> list[Due]:
-    """Returns the orders that may go out, with few loads at a time.
+) -> list[DueOrder]:
+    """Returns the orders that may be sent within the limit on parallel loads.
 
-    The weight store gives a fixed rate to all loads together. Starting them
-    all would make the urgent ones as slow as the rest.
+    All loads share a fixed rate of the weight store. Starting all of them at
+    once would slow down those of high priority.
     """
     loading = sum(1 for status in reported.values() if status.loading)
     chosen = []
@@ -175,17 +177,17 @@
     data_centre: str,
     dead: Iterable[str],
     spares: Iterable[str],
-    begun: Iterable[Repair],
+    in_progress: Iterable[Repair],
 ) -> list[Repair]:
-    """Returns repairs to begin: a free spare for each dead upstream in use.
+    """Returns repairs to start: a free spare for each dead upstream in use.
 
     A repair changes neither model, adapter, version, layer ranges nor
     workspace; anything more needs an operator's confirmation.
     """
-    begun = list(begun)
+    in_progress = list(in_progress)
     gone = set(dead)
-    free = [s for s in spares if s not in {r.spare for r in begun}]
-    handled = {(r.deployment_id, r.dead) for r in begun}
+    free = [s for s in spares if s not in {r.spare for r in in_progress}]
+    handled = {(r.deployment_id, r.dead) for r in in_progress}
     found = []
     for deployment in state.deployments.values():
         if deployment.data_centre != data_centre:
@@ -210,7 +212,7 @@
 def make_holding(
     deployment: records.Deployment, stage: records.Stage
 ) -> engine.Holding:
-    """Returns what a stage's upstream must hold."""
+    """Returns the holding that a stage needs on its upstream."""
     return engine.Holding(
         deployment.model,
         deployment.adapter,
@@ -223,7 +225,7 @@
 def sort_holdings(
     holdings: Iterable[engine.Holding],
 ) -> tuple[engine.Holding, ...]:
-    """Returns holdings in one order, so that equal orders are equal bytes."""
+    """Returns sorted holdings, so that equal orders are equal bytes."""
     return tuple(
         sorted(
             holdings,
@@ -250,18 +252,18 @@
     drain_s: float,
     now_s: float,
 ) -> frozenset[engine.Holding]:
-    """Returns unwanted but loaded holdings that are to stay a while.
+    """Returns unwanted holdings that stay loaded until they have drained.
 
-    Routers switched at the offset that retired them, but requests begun
-    before are still running; unloading at once would cut those off.
+    Routers stop using a holding at the offset that retires it, but requests
+    started before are still running; unloading at once would cut them off.
     """
     kept = set()
     for holding in status.holdings:
         key = (name, holding)
         if holding in want.holdings:
-            drains.since_s.pop(key, None)
+            drains.unwanted_since_s.pop(key, None)
             continue
-        since = drains.since_s.setdefault(key, now_s)
+        since = drains.unwanted_since_s.setdefault(key, now_s)
         if now_s < since + drain_s:
             kept.add(holding)
     return frozenset(kept)
--- a/tests/orders/machine.py
+++ b/tests/orders/machine.py
@@ -64,7 +64,7 @@
         self._observe(daemon)
         now = self._get_clock(daemon)
         ask = leases.decide(daemon.lease, OPTS, now)
-        if isinstance(ask, leases.Ask):
+        if isinstance(ask, leases.Acquire):
             self.numbers += 1
             record = leases.make_record(
                 daemon.lease, OPTS, ask, f"l{self.numbers}", 0, now
@@ -106,9 +106,11 @@
     def send(self, who: int) -> None:
         """A daemon sends an order if the last check lets it."""
         daemon = self.daemons[who]
-        fence = leases.may_send(daemon.lease, OPTS, self._get_clock(daemon))
+        fence = leases.get_send_fence(
+            daemon.lease, OPTS, self._get_clock(daemon)
+        )
         if fence:
-            self.sent.append(Sent(fence, self.now, daemon.lease.me))
+            self.sent.append(Sent(fence, self.now, daemon.lease.own_id))
 
     @stateful.rule(who=PROCESS)
     def send_at_the_last(self, who: int) -> None:
@@ -126,7 +128,7 @@
         self.read(who, 50)
         self._observe(daemon)
         wait_s = OPTS.duration_s + OPTS.margin_s + OPTS.flight_s
-        free_at = daemon.lease.seen.since_s + wait_s - daemon.skew_s
+        free_at = daemon.lease.observed.first_seen_s + wait_s - daemon.skew_s
         # A look just before it may must not take it.
         for moment in (free_at - 2.5, free_at - 1.5, free_at):
             self.now = max(self.now, moment)
--- a/tests/steps/steps_steps.py
+++ b/tests/steps/steps_steps.py
@@ -44,8 +44,8 @@
     drains = steps.Drains()
     want = steps.Wanted(frozenset(make_holding(w) for w in wanted.split()), 1)
     reported = {"e": context.status}
-    steps.find_due({"e": want}, reported, drains, DRAIN_S, 100.0)
-    context.due = steps.find_due(
+    steps.find_due_orders({"e": want}, reported, drains, DRAIN_S, 100.0)
+    context.due = steps.find_due_orders(
         {"e": want}, reported, drains, DRAIN_S, 100.0 + age
     )
 
@@ -62,7 +62,8 @@
 @given("{count:d} engines that need a load, of priorities 1 to {last:d}")
 def step_engines(context: Any, count: int, last: int) -> None:
     context.due = [
-        steps.Due(f"e{i}", (make_holding("a"),), i) for i in range(last, 0, -1)
+        steps.DueOrder(f"e{i}", (make_holding("a"),), i)
+        for i in range(last, 0, -1)
     ]
     context.reported = {f"e{i}": make_status([], []) for i in range(1, 6)}
 
