--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -139,7 +139,7 @@
             self._desk, self._probe, self._exchange.hurry, self._saver.take
         )
         self._duty = duty.Duty(group, self._exchange)
-        self._keeper = ranges.RangeKeeper(self._duty, self._engines, self)
+        self._keeper = ranges.RangeReconciler(self._duty, self._engines, self)
         self._versions = config.Versions()
         # As it was last told to others.
         self._known = reading.Known(0, 0, math.inf)
--- a/egretspur/orders/ranges.py
+++ b/egretspur/orders/ranges.py
@@ -92,7 +92,7 @@
     is_done: bool = False
 
 
-class RangeKeeper:
+class RangeReconciler:
     """Reconciles the layers of one data centre's engines with the plan."""
 
     def __init__(
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -257,7 +257,7 @@
 
 def make_keeper(context: Any) -> tuple[Any, FailOnce]:
     """Returns a keeper of layers that fails in its first round."""
-    found = ranges.RangeKeeper(None, None, None)  # type: ignore[arg-type]
+    found = ranges.RangeReconciler(None, None, None)  # type: ignore[arg-type]
     found.run_round = FailOnce()  # type: ignore[method-assign]
     return found, found.run_round
 
--- a/tests/steps/ranges_orders_steps.py
+++ b/tests/steps/ranges_orders_steps.py
@@ -147,7 +147,7 @@
     context.names = [e.id for e in fleets.make_empty(data_centre)]
     context.fleet = Engines(context.clock)
     context.host = Host(context.clock, context.fleet, list(context.names))
-    context.keeper = ranges.RangeKeeper(
+    context.keeper = ranges.RangeReconciler(
         context.host,
         context.fleet,
         context.host,
