--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -286,14 +286,14 @@
         app.add("GET", names.READY_PATH, get_ready)
         return app
 
-    def learn(self, upstream_id: str, layers: upstreams.Layers) -> None:
+    def record_layers(self, upstream_id: str, layers: upstreams.Layers) -> None:
         """Takes what an engine reports to hold after an order."""
         self._desk.tell(desk.Learn(upstream_id, layers))
 
-    def look(self) -> ranges.Scene:
+    def get_snapshot(self) -> ranges.FleetSnapshot:
         """Returns what the keeper of layers looks at."""
 
-        def read(state: broker.Broker) -> ranges.Scene:
+        def read(state: broker.Broker) -> ranges.FleetSnapshot:
             now_s = time.monotonic()
             view = state.fleet
             live = [
@@ -304,7 +304,7 @@
             ]
             home = self._cfg.data_centre
             cfg = self._versions.newest
-            return ranges.Scene(
+            return ranges.FleetSnapshot(
                 cfg,
                 tuple(e for e in live if e.data_centre == home),
                 tuple(e for e in live if e.data_centre != home),
@@ -316,7 +316,7 @@
                 self._find_late(view, now_s),
             )
 
-        scene: ranges.Scene = self._desk.look(read)
+        scene: ranges.FleetSnapshot = self._desk.look(read)
         return scene
 
     def _find_late(self, view: fleet.Fleet, now_s: float) -> frozenset[str]:
--- a/egretspur/orders/ranges.py
+++ b/egretspur/orders/ranges.py
@@ -57,18 +57,18 @@
         """Tells whether orders may be sent now."""
 
 
-class View(Protocol):
+class FleetView(Protocol):
     """The host's state that rounds read and update."""
 
-    def look(self) -> Scene:
+    def get_snapshot(self) -> FleetSnapshot:
         """Returns the input of a round."""
 
-    def learn(self, upstream_id: str, layers: upstreams.Layers) -> None:
+    def record_layers(self, upstream_id: str, layers: upstreams.Layers) -> None:
         """Records the layers that an engine reports to hold."""
 
 
 @attrs.frozen
-class Scene:
+class FleetSnapshot:
     """Input of a round."""
 
     cfg: config.Configuration | None
@@ -99,7 +99,7 @@
         self,
         duty: Duty,
         engines: Engines,
-        view: View,
+        view: FleetView,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._duty = duty
@@ -140,7 +140,7 @@
             self._held_since_s = now_s
         if now_s - self._held_since_s < DUTY_SETTLE_S:
             return
-        scene = self._view.look()
+        scene = self._view.get_snapshot()
         if scene.cfg is None:
             return
         present = {e.id for e in scene.engines}
@@ -155,7 +155,7 @@
         self,
         service: str,
         spec: config.EngineSpec,
-        scene: Scene,
+        scene: FleetSnapshot,
         now_s: float,
     ) -> None:
         found = {
@@ -272,7 +272,7 @@
             return
         # Kept until the list shows the layers: this entry is older.
         self._sent_orders[entry.id] = attrs.evolve(order, is_done=True)
-        self._view.learn(entry.id, order.layers)
+        self._view.record_layers(entry.id, order.layers)
         _record_done(entry.id, order, now_s)
 
     def _is_new(self, engine_id: str, now_s: float) -> bool:
--- a/tests/steps/ranges_orders_steps.py
+++ b/tests/steps/ranges_orders_steps.py
@@ -92,11 +92,11 @@
         """Tells whether the host has the duty."""
         return self.has_duty
 
-    def learn(self, upstream_id: str, layers: upstreams.Layers) -> None:
+    def record_layers(self, upstream_id: str, layers: upstreams.Layers) -> None:
         """Takes a report."""
         self.learned[upstream_id] = layers
 
-    def look(self) -> ranges.Scene:
+    def get_snapshot(self) -> ranges.FleetSnapshot:
         """Returns the list as it was a while ago."""
         self.engines.settle()
         self.history.append((self.clock.now_s, dict(self.engines.held)))
@@ -111,7 +111,7 @@
             )
             for n in self.names
         ]
-        return ranges.Scene(
+        return ranges.FleetSnapshot(
             fleets.make_config(),
             tuple(listed),
             (),
