--- a/egretspur/orders/ranges.py
+++ b/egretspur/orders/ranges.py
@@ -75,12 +75,12 @@
     # Engines of this data centre and of the others, without those that are
     # leaving or dead.
     engines: tuple[upstreams.Upstream, ...]
-    elsewhere: tuple[upstreams.Upstream, ...]
+    remote_engines: tuple[upstreams.Upstream, ...]
     # Ids of engines that no request uses.
     idle: frozenset[str]
     # Ids of engines too slow to answer in time: their layers are reassigned
     # as if the engines were lost, and they get no new ones.
-    late: frozenset[str] = frozenset()
+    slow: frozenset[str] = frozenset()
 
 
 @attrs.frozen
@@ -163,7 +163,7 @@
             for e in scene.engines
             if e.service == service
             and e.accelerator in spec.accelerators
-            and e.id not in scene.late
+            and e.id not in scene.slow
         }
         for entry in found.values():
             self._check_order(entry, now_s)
@@ -181,10 +181,10 @@
             return
         others = [
             e.layers
-            for e in scene.elsewhere
+            for e in scene.remote_engines
             if e.service == service
             and e.layers is not None
-            and e.id not in scene.late
+            and e.id not in scene.slow
         ]
         orders = ranges.plan_orders(engines, spec, others)
         for engine_id, layers in orders.items():
--- a/tests/steps/ranges_orders_steps.py
+++ b/tests/steps/ranges_orders_steps.py
@@ -188,7 +188,7 @@
         others = [(h.first, h.last) for i, h in held.items() if i != name and h]
         if mine and paths.find_gaps(others, fleets.SPEC.layers):
             context.slow = name
-            context.host.late = frozenset([name])
+            context.host.slow = frozenset([name])
             return
     raise AssertionError(held)
 
