--- a/tests/steps/ranges_orders_steps.py
+++ b/tests/steps/ranges_orders_steps.py
@@ -83,7 +83,7 @@
     names: list[str]
     lag_s: float = 0.0
     has_duty: bool = True
-    late: frozenset[str] = frozenset()
+    slow: frozenset[str] = frozenset()
     learned: dict[str, upstreams.Layers] = attrs.Factory(dict)
     # What the engines held, by time, for a list that lags.
     history: list[tuple[float, dict[str, Any]]] = attrs.Factory(list)
@@ -116,7 +116,7 @@
             tuple(listed),
             (),
             frozenset(self.names),
-            self.late,
+            self.slow,
         )
 
 
