--- a/egretspur/placement/__init__.py
+++ b/egretspur/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of layer ranges per upstream; pure planning."""
+"""Planning of layer ranges per upstream; pure."""
--- a/egretspur/placement/grouping.py
+++ b/egretspur/placement/grouping.py
@@ -1,9 +1,10 @@
-"""Which machines form a chain together.
+"""Groups the machines of a data centre into chains; pure.
 
-A chain of equal machines in one rack splits well and has the best links, so
-for each rack and kind the smallest group that fits is a candidate; where none
-fits, machines are mixed, fastest links first. The candidate that gets most of
-its machines' speed wins; see `docs/design/placement.md` for the comparison.
+A chain of equal machines in one rack splits evenly and has the fastest links,
+so for each rack and accelerator the smallest group that fits is a candidate;
+where none fits, machines are mixed, fastest links first. The candidate with
+the highest efficiency is used; see `docs/design/placement.md` for the
+comparison.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 
 from egretspur.placement import split
 
-# Racks looked at for one chain, least used first. Looking at all costs time in
-# proportion to the data centre and gained nothing measurable.
-RACKS_TRIED: Final = 4
+# Racks examined for one chain, least used first. Examining all of them takes
+# time in proportion to the data centre and gives no measurable gain.
+MAX_RACKS_TRIED: Final = 4
 
 # Longest chain; each stage adds a hop to every token.
 MAX_STAGES: Final = 8
@@ -29,7 +30,7 @@
 
     machines: tuple[split.Machine, ...]
     split: split.Split
-    # Share of the machines' joint speed that the chain gets.
+    # Rate of the chain divided by the bound of `split.compute_bound`.
     efficiency: float
 
 
@@ -39,11 +40,11 @@
     def __init__(self, machines: Iterable[split.Machine]) -> None:
         self._racks: dict[str, dict[str, list[split.Machine]]] = {}
         self._cache: dict[tuple[object, ...], split.Split | None] = {}
-        # Racks that can't hold a chain of so many layers any more; machines
-        # only leave a pool, so looking again would be in vain.
-        self._exhausted: set[tuple[str, int]] = set()
+        # Racks that can't hold a chain of this number of layers any more.
+        # Machines only leave a pool, so these racks need no second check.
+        self._exhausted_racks: set[tuple[str, int]] = set()
         for machine in sorted(machines, key=lambda m: m.name):
-            if machine.room > 0:
+            if machine.max_layers > 0:
                 kinds = self._racks.setdefault(machine.rack, {})
                 kinds.setdefault(machine.accelerator, []).append(machine)
 
@@ -77,16 +78,16 @@
         best: Group | None = None
         tried = 0
         for rack in racks:
-            if (rack, layers) in self._exhausted:
+            if (rack, layers) in self._exhausted_racks:
                 continue
             found = self._find_in_rack(rack, layers)
             if found is None:
-                self._exhausted.add((rack, layers))
+                self._exhausted_racks.add((rack, layers))
                 continue
             if best is None or _rank(found) > _rank(best):
                 best = found
             tried += 1
-            if tried >= RACKS_TRIED:
+            if tried >= MAX_RACKS_TRIED:
                 break
         return best
 
@@ -94,7 +95,9 @@
         kinds = self._racks[rack]
         candidates = [self._take_fitting(ms, layers) for ms in kinds.values()]
         mixed = [m for ms in kinds.values() for m in ms[:MAX_STAGES]]
-        mixed.sort(key=lambda m: (-m.link_tokens_s, -m.layers_per_s, m.name))
+        mixed.sort(
+            key=lambda m: (-m.link_tokens_per_s, -m.layers_per_s, m.name)
+        )
         candidates.append(self._take_fitting(mixed, layers))
         found = [c for c in candidates if c is not None]
         return max(found, key=_rank) if found else None
@@ -106,18 +109,20 @@
             for ms in kinds.values()
             for m in ms[:MAX_STAGES]
         ]
-        machines.sort(key=lambda m: (-m.link_tokens_s, -m.room, m.name))
+        machines.sort(
+            key=lambda m: (-m.link_tokens_per_s, -m.max_layers, m.name)
+        )
         return self._take_fitting(machines, layers)
 
     def _take_fitting(
         self, machines: Sequence[split.Machine], layers: int
     ) -> Group | None:
         chosen: list[split.Machine] = []
-        room = 0
+        capacity = 0
         for machine in machines[:MAX_STAGES]:
             chosen.append(machine)
-            room += machine.room
-            if room >= layers:
+            capacity += machine.max_layers
+            if capacity >= layers:
                 return self._make_group(chosen, layers)
         return None
 
@@ -126,7 +131,10 @@
     ) -> Group | None:
         key = (
             layers,
-            *((m.room, m.layers_per_s, m.link_tokens_s) for m in machines),
+            *(
+                (m.max_layers, m.layers_per_s, m.link_tokens_per_s)
+                for m in machines
+            ),
         )
         if key not in self._cache:
             self._cache[key] = split.split_layers(machines, layers)
@@ -147,6 +155,6 @@
 
 
 def _rank(group: Group) -> tuple[float, float]:
-    # Rounded, so that a chain is not preferred for a thousandth of efficiency
-    # over one that is twice as fast.
+    # Efficiency is rounded, so that a difference of a thousandth does not
+    # outweigh a chain that is twice as fast.
     return round(group.efficiency, 1), group.split.tokens_per_s
--- a/egretspur/placement/planner.py
+++ b/egretspur/placement/planner.py
@@ -1,4 +1,4 @@
-"""From an intent to a plan: pure, from a state and the hosts as listed.
+"""Makes a plan for an intent from the state and the host list; pure.
 
 An intent that can't be met still gets a plan; its findings say what is missing
 and why. Read `egretspur.placement.grouping` and `.split` for the choice of
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class Inputs:
-    """All that a plan is made from."""
+    """Inputs of a plan."""
 
     state: states.State
     intent: records.Intent
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class Draft:
-    """A plan's content, before it becomes a record."""
+    """Content of a plan before it is recorded."""
 
     reads: tuple[str, ...]
     writes: tuple[str, ...]
@@ -41,63 +41,63 @@
 
 
 @attrs.define
-class _Work:
-    """What has been put together so far."""
+class _PartialPlan:
+    """A plan while it is being assembled."""
 
-    names: list[str] = attrs.Factory(list)
+    deployment_ids: list[str] = attrs.Factory(list)
     new: list[records.Deployment] = attrs.Factory(list)
     reads: list[str] = attrs.Factory(list)
     writes: list[str] = attrs.Factory(list)
     unmet: list[str] = attrs.Factory(list)
     worse: list[str] = attrs.Factory(list)
-    rate: float = 0.0
-    bound: float = 0.0
+    tokens_per_s: float = 0.0
+    bound_tokens_per_s: float = 0.0
     load_bytes: int = 0
 
 
 def make_plan(inputs: Inputs, plan_id: str) -> Draft:
     """Returns the plan for an intent."""
     intent = inputs.intent
-    work = _Work()
-    work.writes.append(records.binding_key(intent.workspace, intent.model))
+    partial = _PartialPlan()
+    partial.writes.append(records.binding_key(intent.workspace, intent.model))
     if intent.replicas > 0:
         problem = check_intent(intent, inputs.spec)
         if problem:
-            work.unmet.append(problem)
+            partial.unmet.append(problem)
         else:
             assert inputs.spec is not None
             usage = compute_usage(inputs.state.deployments.values())
             for data_centre in intent.data_centres:
                 _plan_data_centre(
-                    inputs, inputs.spec, data_centre, plan_id, usage, work
+                    inputs, inputs.spec, data_centre, plan_id, usage, partial
                 )
     store_rate = inputs.spec.store_bytes_s if inputs.spec else 0.0
     return Draft(
-        reads=tuple(dict.fromkeys(work.writes + work.reads)),
-        writes=tuple(dict.fromkeys(work.writes)),
-        deployments=tuple(work.new),
+        reads=tuple(dict.fromkeys(partial.writes + partial.reads)),
+        writes=tuple(dict.fromkeys(partial.writes)),
+        deployments=tuple(partial.new),
         binding=records.Binding(
             intent.workspace,
             intent.model,
-            tuple(work.names),
+            tuple(partial.deployment_ids),
             intent.priority,
             intent.limit,
         ),
         findings=records.Findings(
-            before_tokens_per_s=round(_compute_before(inputs), 1),
-            after_tokens_per_s=round(work.rate, 1),
-            bound_tokens_per_s=round(work.bound, 1),
-            load_s=round(work.load_bytes / store_rate, 1)
+            before_tokens_per_s=round(_compute_current_rate(inputs), 1),
+            after_tokens_per_s=round(partial.tokens_per_s, 1),
+            bound_tokens_per_s=round(partial.bound_tokens_per_s, 1),
+            load_s=round(partial.load_bytes / store_rate, 1)
             if store_rate
             else 0.0,
-            unmet=tuple(work.unmet),
-            worse=tuple(work.worse),
+            unmet=tuple(partial.unmet),
+            worse=tuple(partial.worse),
         ),
     )
 
 
 def check_intent(intent: records.Intent, spec: weights.ModelSpec | None) -> str:
-    """Tells what the weight store lacks for an intent; empty if nothing."""
+    """Returns what the weight store lacks for an intent; empty if nothing."""
     if spec is None:
         return f"the weight store has no model {intent.model!r}"
     if intent.version not in spec.versions:
@@ -115,7 +115,7 @@
 
 @attrs.define
 class Usage:
-    """What chains already use of one upstream."""
+    """Use of one upstream by existing chains."""
 
     layers_bytes: list[tuple[str, int]] = attrs.Factory(list)
     deployments: list[str] = attrs.Factory(list)
@@ -124,7 +124,7 @@
 def compute_usage(
     deployments: Iterable[records.Deployment],
 ) -> dict[str, Usage]:
-    """Returns, for each upstream in a chain, its models and layer counts."""
+    """Returns the models, layer counts and deployments of used upstreams."""
     usage: dict[str, Usage] = {}
     for deployment in deployments:
         for chain in deployment.chains:
@@ -142,7 +142,7 @@
     adapter: str,
     usage: dict[str, Usage],
 ) -> list[split.Machine]:
-    """Returns the machines that no chain uses, with their room for a model."""
+    """Returns the unused machines with their capacity for a model."""
     layer_bytes = spec.layer_bytes
     if adapter:
         layer_bytes += spec.adapter_layer_bytes
@@ -171,36 +171,42 @@
     data_centre: str,
     plan_id: str,
     usage: dict[str, Usage],
-    work: _Work,
+    partial: _PartialPlan,
 ) -> None:
     intent = inputs.intent
     key = records.deployments_key(intent, data_centre)
-    work.reads.append(key)
-    present = _find_present(inputs.state, intent, data_centre)
-    for deployment in present:
-        work.names.append(deployment.id)
-        work.rate += sum(c.tokens_per_s for c in deployment.chains)
-        work.bound += sum(c.tokens_per_s for c in deployment.chains)
-    have = sum(len(d.chains) for d in present)
-    if have >= intent.replicas:
-        _note_sharing(inputs.state, present, intent, work)
+    partial.reads.append(key)
+    existing = _find_existing(inputs.state, intent, data_centre)
+    for deployment in existing:
+        partial.deployment_ids.append(deployment.id)
+        partial.tokens_per_s += sum(c.tokens_per_s for c in deployment.chains)
+        partial.bound_tokens_per_s += sum(
+            c.tokens_per_s for c in deployment.chains
+        )
+    existing_count = sum(len(d.chains) for d in existing)
+    if existing_count >= intent.replicas:
+        _record_sharing(inputs.state, existing, intent, partial)
         return
     local = [h for h in inputs.hosts if h.data_centre == data_centre]
     if not local:
-        work.unmet.append(f"{data_centre}: the platform lists no hosts there")
+        partial.unmet.append(
+            f"{data_centre}: the platform lists no hosts for it"
+        )
         return
     pool = grouping.Pool(make_machines(local, spec, intent.adapter, usage))
-    chains = _make_chains(pool, spec, intent, data_centre, plan_id, have, work)
-    wanted = intent.replicas - have
+    chains = _make_chains(
+        pool, spec, intent, data_centre, plan_id, existing_count, partial
+    )
+    wanted = intent.replicas - existing_count
     if len(chains) < wanted:
-        work.unmet.append(
+        partial.unmet.append(
             f"{data_centre}: {wanted} new chains wanted, {len(chains)} fit;"
             f" {spec.layers} layers of {spec.layer_bytes} bytes need more free"
             " engines with memory for them"
         )
     if not chains:
         return
-    work.writes.append(key)
+    partial.writes.append(key)
     deployment = records.Deployment(
         id=f"{plan_id}.{data_centre}",
         model=intent.model,
@@ -210,8 +216,8 @@
         layers=spec.layers,
         chains=tuple(chains),
     )
-    work.new.append(deployment)
-    work.names.append(deployment.id)
+    partial.new.append(deployment)
+    partial.deployment_ids.append(deployment.id)
 
 
 def _make_chains(
@@ -220,15 +226,15 @@
     intent: records.Intent,
     data_centre: str,
     plan_id: str,
-    have: int,
-    work: _Work,
+    existing_count: int,
+    partial: _PartialPlan,
 ) -> list[records.Chain]:
     chains: list[records.Chain] = []
     used_racks: dict[str, int] = {}
     layer_bytes = spec.layer_bytes
     if intent.adapter:
         layer_bytes += spec.adapter_layer_bytes
-    for number in range(intent.replicas - have):
+    for number in range(intent.replicas - existing_count):
         spread = len(used_racks) < intent.racks
         group = pool.take_chain(spec.layers, used_racks, spread)
         if group is None:
@@ -240,13 +246,17 @@
                 round(group.split.tokens_per_s, 3),
             )
         )
-        work.rate += group.split.tokens_per_s
-        work.bound += split.compute_bound(group.machines, spec.layers)
-        work.load_bytes += spec.layers * layer_bytes
-        work.writes.extend(records.upstream_key(m.name) for m in group.machines)
+        partial.tokens_per_s += group.split.tokens_per_s
+        partial.bound_tokens_per_s += split.compute_bound(
+            group.machines, spec.layers
+        )
+        partial.load_bytes += spec.layers * layer_bytes
+        partial.writes.extend(
+            records.upstream_key(m.name) for m in group.machines
+        )
     if chains and len(used_racks) < intent.racks:
-        work.unmet.append(
-            f"{data_centre}: {intent.racks} racks wanted, the chains stand in"
+        partial.unmet.append(
+            f"{data_centre}: {intent.racks} racks wanted, the chains use"
             f" {len(used_racks)}"
         )
     return chains
@@ -261,10 +271,10 @@
     return tuple(stages)
 
 
-def _find_present(
+def _find_existing(
     state: states.State, intent: records.Intent, data_centre: str
 ) -> list[records.Deployment]:
-    """Returns deployments of the same weights; using them moves nothing."""
+    """Returns deployments of the same weights, usable without new loads."""
     return [
         d
         for d in sorted(state.deployments.values(), key=lambda d: d.id)
@@ -275,13 +285,13 @@
     ]
 
 
-def _note_sharing(
+def _record_sharing(
     state: states.State,
-    present: list[records.Deployment],
+    existing: list[records.Deployment],
     intent: records.Intent,
-    work: _Work,
+    partial: _PartialPlan,
 ) -> None:
-    names = {d.id for d in present}
+    names = {d.id for d in existing}
     others = sorted(
         b.workspace
         for b in state.bindings.values()
@@ -290,12 +300,12 @@
     if others:
         shown = ", ".join(others[:5])
         more = f" and {len(others) - 5} more" if len(others) > 5 else ""
-        work.worse.append(
-            f"shares chains in {present[0].data_centre} with {shown}{more}"
+        partial.worse.append(
+            f"shares chains in {existing[0].data_centre} with {shown}{more}"
         )
 
 
-def _compute_before(inputs: Inputs) -> float:
+def _compute_current_rate(inputs: Inputs) -> float:
     key = records.binding_key(inputs.intent.workspace, inputs.intent.model)
     binding = inputs.state.bindings.get(key)
     if binding is None:
--- a/egretspur/placement/ranges.py
+++ b/egretspur/placement/ranges.py
@@ -1,12 +1,13 @@
-"""Which engine of a data centre holds which layers: pure.
+"""Plans which engine of a data centre holds which layers; pure.
 
 The plan is a function of what the engines hold now, so it need not be stored:
-whoever has the duty makes the same one. From empty engines it makes a layout;
-after a loss it mends only the layers that no engine holds any more.
+every duty holder computes the same one. For empty engines it is a full layout;
+after a loss it reassigns only the layers that no engine holds any more.
 
-A card filled with layers has no memory for requests, and the whole chain then
-refuses. So each engine gets only as many layers as leave room for requests;
-the fastest engines go first, and what is left twins the layers.
+An accelerator filled with layers has no memory for requests, and the whole
+chain then refuses them. So each engine gets only as many layers as leave
+memory for the key-value (KV) cache of requests. The fastest engines are
+assigned first; the remaining ones hold copies of layers.
 """
 
 from __future__ import annotations
@@ -20,22 +21,23 @@
 from egretspur.catalog import config, upstreams
 from egretspur.routing import paths
 
-# Room for requests that a layout leaves on every layer, in tokens; the first
-# with which all layers can be held is taken. With less than the last, a card
-# would hold up its whole data centre; the layers of another are better.
+# KV cache capacity per layer that a layout leaves, in tokens. Levels are tried
+# in order until all layers can be held. With less than the last, one
+# accelerator would slow down its whole data centre; using the layers of another
+# data centre is better.
 ROOMS: Final = (36_000, 28_000, 20_000, 12_000)
 
-# So many of these are tried where other data centres hold the missing layers.
-PATIENT: Final = 2
+# Number of levels tried where other data centres hold the missing layers.
+DEFERRED_LEVELS: Final = 2
 
-# Part of that room which an engine must keep that holds some layers more
-# because its neighbour is lost. It loads only those, so this is the quickest
-# repair, and leaves the twins where they are.
-EXTENDED: Final = 0.65
+# Part of that capacity that an engine must keep when it takes over layers of a
+# lost neighbour. It loads only the added layers, so this is the fastest repair,
+# and it moves no copies.
+EXTENDED_KV_SHARE: Final = 0.65
 
-# Fewest layers an engine is given in a repair; loading takes as long as the
-# layers of the engine that loads most.
-FEWEST: Final = 4
+# Minimum number of layers an engine is given in a repair. The repair takes as
+# long as the engine that loads most.
+MIN_REPAIR_LAYERS: Final = 4
 
 
 @attrs.frozen
@@ -44,14 +46,14 @@
 
     id: str
     accelerator: config.Accelerator
-    # What it holds, or has been ordered to hold.
+    # Layers it holds or has been ordered to hold.
     held: upstreams.Layers | None
-    # It has just come. Where an upstream is replaced, the new one comes first
-    # and the old one leaves a moment later; the new one is kept free for its
-    # layers instead of loading a twin's.
+    # Recently listed. Where an upstream is replaced, the new one is listed
+    # shortly before the old one leaves; it is kept empty for the old one's
+    # layers instead of loading a copy of others.
     is_new: bool = False
-    # No request uses it; layers that are in use can be given up only once
-    # those requests are done, and new ones are refused until then.
+    # No request uses it. An engine drops layers in use only after their
+    # requests have ended, and refuses new ones until then.
     is_idle: bool = True
 
 
@@ -61,45 +63,45 @@
     elsewhere: Sequence[upstreams.Layers] = (),
     rooms: Sequence[float] = ROOMS,
 ) -> dict[str, upstreams.Layers]:
-    """Returns the ranges that engines are to hold, where that changes.
+    """Returns the new layer range of each engine whose range changes.
 
     Args:
         engines: Live engines of one data centre.
         spec: Sizes of the model.
         elsewhere: Ranges that live engines of other data centres hold.
-        rooms: Least room to leave on every layer, in tokens, best first.
+        rooms: KV cache tokens to leave on every layer, best level first.
     """
     ordered = sorted(engines, key=lambda e: (e.accelerator.pace, e.id))
     held = {e.id: e.held for e in ordered if e.held is not None}
     gaps = _find_gaps(held.values(), spec.layers)
     if not gaps:
-        return _make_twins(ordered, held, spec, rooms[0])
+        return _add_copies(ordered, held, spec, rooms[0])
     if held and not _find_gaps(elsewhere, spec.layers):
-        # Paths go over the other data centres meanwhile, so it can wait for
-        # engines that no request uses, and needn't crowd any card.
+        # Paths use the other data centres meanwhile, so the repair can wait for
+        # engines that no request uses and need not fill any accelerator.
         movable = frozenset(e.id for e in ordered if e.is_idle)
         repair = _close_gaps(
-            ordered, held, gaps, spec, movable, rooms[:PATIENT]
+            ordered, held, gaps, spec, movable, rooms[:DEFERRED_LEVELS]
         )
-        return repair.orders if repair.is_whole else {}
+        return repair.orders if repair.is_complete else {}
     movable = frozenset(e.id for e in ordered)
-    # What can be held is held, though some layers are left without a holder:
-    # it may complete those of another data centre.
+    # A partial repair is ordered too: its layers may complete those of another
+    # data centre.
     return _close_gaps(ordered, held, gaps, spec, movable, rooms).orders
 
 
-def compute_most(
-    accelerator: config.Accelerator, spec: config.EngineSpec, room: float
+def compute_max_layers(
+    accelerator: config.Accelerator, spec: config.EngineSpec, kv_tokens: float
 ) -> int:
-    """Returns the layers a card can hold with so many tokens of room each."""
-    each = spec.layer_bytes + room * spec.token_layer_bytes
+    """Returns the layers that fit with this KV cache capacity on each."""
+    each = spec.layer_bytes + kv_tokens * spec.token_layer_bytes
     return min(spec.layers, int(accelerator.memory_bytes / each))
 
 
 def compute_room(
     accelerator: config.Accelerator, spec: config.EngineSpec, count: int
 ) -> float:
-    """Returns the tokens of room on each layer of a card that holds so many."""
+    """Returns the KV cache tokens per layer with `count` layers held."""
     left = accelerator.memory_bytes - count * spec.layer_bytes
     return left / (count * spec.token_layer_bytes)
 
@@ -117,120 +119,128 @@
     gaps: Sequence[upstreams.Layers],
     spec: config.EngineSpec,
     movable: frozenset[str],
-    rooms: Sequence[float],
+    kv_levels: Sequence[float],
 ) -> _Repair:
-    """Finds holders for layers that nobody holds, with as much room as can be.
+    """Assigns layers without a holder, with the highest KV level possible.
 
     Returns:
-        The first try that closes all gaps, else the last one.
+        The first attempt that closes all gaps, else the last one.
     """
-    repair = _Repair(engines, spec, movable, rooms[0], dict(held))
-    for room in rooms:
-        repair = _Repair(engines, spec, movable, room, dict(held))
+    repair = _Repair(engines, spec, movable, kv_levels[0], dict(held))
+    for level in kv_levels:
+        repair = _Repair(engines, spec, movable, level, dict(held))
         for gap in gaps:
-            repair.is_whole &= repair.close(gap)
-        if repair.is_whole:
+            repair.is_complete &= repair.close_gap(gap)
+        if repair.is_complete:
             break
     return repair
 
 
 @attrs.define
 class _Repair:
-    """One try to hold missing layers with so much room on every card."""
+    """One attempt to assign missing layers at one KV cache level."""
 
     # All engines, fastest first.
     engines: Sequence[Engine]
     spec: config.EngineSpec
-    # Those that may be given other layers in place of theirs.
+    # Ids of engines that may be given other layers than they hold.
     movable: frozenset[str]
-    # Tokens.
-    room: float
-    # What each engine holds once the orders are done.
-    have: dict[str, upstreams.Layers]
+    # KV cache capacity to leave on each layer, in tokens.
+    kv_tokens: float
+    # Layers of each engine once the orders are done.
+    assigned: dict[str, upstreams.Layers]
     orders: dict[str, upstreams.Layers] = attrs.Factory(dict)
-    # Every gap got holders.
-    is_whole: bool = True
-    # Nothing was held before: the first layout, in which time doesn't count.
+    # Every layer of every gap was assigned.
+    is_complete: bool = True
+    # First layout: no layers were held before, so load time does not matter.
     is_first: bool = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.is_first = not self.have
+        self.is_first = not self.assigned
 
-    def close(self, gap: upstreams.Layers) -> bool:
-        """Finds holders for a gap; tells whether all of it has one."""
+    def close_gap(self, gap: upstreams.Layers) -> bool:
+        """Assigns the layers of a gap; tells whether all were assigned."""
         if not self.is_first:
-            have, orders = dict(self.have), dict(self.orders)
-            if self._extend(gap, EXTENDED * self.room):
+            assigned, orders = dict(self.assigned), dict(self.orders)
+            if self._extend_neighbours(gap, EXTENDED_KV_SHARE * self.kv_tokens):
                 return True
-            self.have, self.orders = have, orders
-        rest = self._move(gap)
-        return self._extend(rest, self.room)
-
-    def _order(self, engine: Engine, layers: upstreams.Layers) -> None:
-        self.orders[engine.id] = self.have[engine.id] = layers
-
-    def _move(self, gap: upstreams.Layers) -> upstreams.Layers:
-        """Gives a gap to free engines; returns what is left of it."""
-        at = gap.first
-        while at < gap.last:
-            free = [e for e in self._list_free() if e.id in self.movable]
-            if not free:
+            self.assigned, self.orders = assigned, orders
+        rest = self._assign_available(gap)
+        return self._extend_neighbours(rest, self.kv_tokens)
+
+    def _assign(self, engine: Engine, layers: upstreams.Layers) -> None:
+        self.orders[engine.id] = self.assigned[engine.id] = layers
+
+    def _assign_available(self, gap: upstreams.Layers) -> upstreams.Layers:
+        """Assigns a gap to available engines; returns the unassigned rest."""
+        start = gap.first
+        while start < gap.last:
+            available = [
+                e for e in self._list_available() if e.id in self.movable
+            ]
+            if not available:
                 break
-            count = compute_most(free[0].accelerator, self.spec, self.room)
+            count = compute_max_layers(
+                available[0].accelerator, self.spec, self.kv_tokens
+            )
             if not self.is_first:
-                fair = math.ceil((gap.last - at) / len(free))
-                count = min(count, max(fair, FEWEST))
-            count = min(count, gap.last - at)
+                fair = math.ceil((gap.last - start) / len(available))
+                count = min(count, max(fair, MIN_REPAIR_LAYERS))
+            count = min(count, gap.last - start)
             if count <= 0:
                 break
-            self._order(free[0], upstreams.Layers(at, at + count))
-            at += count
-        return upstreams.Layers(at, gap.last)
+            self._assign(available[0], upstreams.Layers(start, start + count))
+            start += count
+        return upstreams.Layers(start, gap.last)
 
-    def _list_free(self) -> list[Engine]:
+    def _list_available(self) -> list[Engine]:
         """Returns the engines that can be given other layers, best first.
 
-        Empty ones, fastest first; then those whose layers all have other
-        holders, slowest first, since the fast ones serve most requests.
+        Empty engines come first, fastest first; then those whose layers all
+        have other holders, slowest first, since fast ones serve most requests.
         """
-        empty = [e for e in self.engines if e.id not in self.have]
-        twins = [
+        empty = [e for e in self.engines if e.id not in self.assigned]
+        copies = [
             e
             for e in reversed(self.engines)
-            if e.id in self.have and self._is_twin(e.id)
+            if e.id in self.assigned and self._is_redundant(e.id)
         ]
-        return empty + twins
+        return empty + copies
 
-    def _is_twin(self, engine_id: str) -> bool:
-        """Tells whether an engine holds only what others hold too."""
+    def _is_redundant(self, engine_id: str) -> bool:
+        """Tells whether other engines hold all layers of this one."""
         if engine_id in self.orders:
             return False
-        mine = self.have[engine_id]
+        own = self.assigned[engine_id]
         others = [
-            (h.first, h.last) for i, h in self.have.items() if i != engine_id
+            (h.first, h.last)
+            for i, h in self.assigned.items()
+            if i != engine_id
         ]
-        gaps = paths.find_gaps(others, mine.last)
-        return not any(a < mine.last and b > mine.first for a, b in gaps)
+        gaps = paths.find_gaps(others, own.last)
+        return not any(a < own.last and b > own.first for a, b in gaps)
 
-    def _extend(self, gap: upstreams.Layers, floor: float) -> bool:
-        """Lets the neighbours of a gap hold more; tells if that closes it.
+    def _extend_neighbours(
+        self, gap: upstreams.Layers, min_kv_tokens: float
+    ) -> bool:
+        """Extends the ranges next to a gap; tells whether that closes it.
 
-        Layer by layer, the neighbour that keeps more room takes the next one.
+        Each layer goes to the neighbour that keeps more KV cache capacity.
         """
         first, last = gap.first, gap.last
         while first < last:
             best: tuple[float, Engine, upstreams.Layers] | None = None
             for engine in self.engines:
-                more = _grow(self.have.get(engine.id), first, last)
+                more = _extend_range(self.assigned.get(engine.id), first, last)
                 if more is None:
                     continue
                 left = compute_room(engine.accelerator, self.spec, more.count)
-                if left >= floor and (best is None or left > best[0]):
+                if left >= min_kv_tokens and (best is None or left > best[0]):
                     best = (left, engine, more)
             if best is None:
                 return False
             _, engine, more = best
-            self._order(engine, more)
+            self._assign(engine, more)
             if more.last == first + 1:
                 first += 1
             else:
@@ -238,64 +248,66 @@
         return True
 
 
-def _grow(
-    mine: upstreams.Layers | None, first: int, last: int
+def _extend_range(
+    held: upstreams.Layers | None, first: int, last: int
 ) -> upstreams.Layers | None:
-    """Returns a range with one layer more, if a gap adjoins it."""
-    if mine is None:
+    """Returns a range extended by one layer of a gap that adjoins it."""
+    if held is None:
         return None
-    if mine.last == first:
-        return upstreams.Layers(mine.first, first + 1)
-    if mine.first == last:
-        return upstreams.Layers(last - 1, mine.last)
+    if held.last == first:
+        return upstreams.Layers(held.first, first + 1)
+    if held.first == last:
+        return upstreams.Layers(last - 1, held.last)
     return None
 
 
-def _make_twins(
+def _add_copies(
     engines: Sequence[Engine],
     held: Mapping[str, upstreams.Layers],
     spec: config.EngineSpec,
-    least: float,
+    min_kv_tokens: float,
 ) -> dict[str, upstreams.Layers]:
-    """Gives empty engines the layers with the least room for requests."""
+    """Assigns empty engines the layers with the least KV cache capacity."""
     orders: dict[str, upstreams.Layers] = {}
-    rooms = [0.0] * spec.layers
+    layer_tokens = [0.0] * spec.layers
     for engine in engines:
         if engine.held is not None:
-            _add_room(rooms, engine, engine.held, spec)
+            _add_kv_tokens(layer_tokens, engine, engine.held, spec)
     for engine in engines:
         if engine.id in held or engine.is_new:
             continue
-        count = compute_most(engine.accelerator, spec, least)
+        count = compute_max_layers(engine.accelerator, spec, min_kv_tokens)
         if count <= 0:
             continue
-        part = _find_scarcest(rooms, held.values(), count)
+        part = _find_scarcest_range(layer_tokens, held.values(), count)
         orders[engine.id] = part
-        _add_room(rooms, engine, part, spec)
+        _add_kv_tokens(layer_tokens, engine, part, spec)
     return orders
 
 
-def _add_room(
-    rooms: list[float],
+def _add_kv_tokens(
+    layer_tokens: list[float],
     engine: Engine,
     part: upstreams.Layers,
     spec: config.EngineSpec,
 ) -> None:
-    room = compute_room(engine.accelerator, spec, part.count)
-    for layer in range(part.first, min(part.last, len(rooms))):
-        rooms[layer] += room
+    kv_tokens = compute_room(engine.accelerator, spec, part.count)
+    for layer in range(part.first, min(part.last, len(layer_tokens))):
+        layer_tokens[layer] += kv_tokens
 
 
-def _find_scarcest(
-    rooms: Sequence[float], held: Iterable[upstreams.Layers], count: int
+def _find_scarcest_range(
+    layer_tokens: Sequence[float], held: Iterable[upstreams.Layers], count: int
 ) -> upstreams.Layers:
-    """Returns the range of so many layers with the least room in all."""
-    last = len(rooms) - count
+    """Returns the range of `count` layers with the least total capacity."""
+    last = len(layer_tokens) - count
     starts = {0, last}
     for part in held:
         starts.update((part.first, part.last - count))
     found = [
-        (sum(rooms[s : s + count]), s) for s in sorted(starts) if 0 <= s <= last
+        (sum(layer_tokens[s : s + count]), s)
+        for s in sorted(starts)
+        if 0 <= s <= last
     ]
     _, start = min(found)
     return upstreams.Layers(start, start + count)
