--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -30,7 +30,7 @@
 
 def make_room(tokens: int) -> fleetplay.Policy:
     """Returns the policy that leaves so much room on a layer."""
-    rooms = (float(tokens), *[r for r in ranges.ROOMS if r < tokens])
+    rooms = (float(tokens), *[r for r in ranges.KV_TOKENS_LEVELS if r < tokens])
     return fleetplay.Policy(f"room {tokens // 1000}k", rooms)
 
 
--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -57,7 +57,7 @@
 
     name: str
     # Least room of a layout, in tokens, best first.
-    rooms: tuple[float, ...] = ranges.ROOMS
+    rooms: tuple[float, ...] = ranges.KV_TOKENS_LEVELS
     # Whether layers are spread evenly over all cards, the baseline.
     is_even: bool = False
     # Answers over a stage that died are moved; else they are resumed.
--- a/egretspur/placement/ranges.py
+++ b/egretspur/placement/ranges.py
@@ -25,7 +25,7 @@
 # in order until all layers can be held. With less than the last, one
 # accelerator would slow down its whole data centre; using the layers of another
 # data centre is better.
-ROOMS: Final = (36_000, 28_000, 20_000, 12_000)
+KV_TOKENS_LEVELS: Final = (36_000, 28_000, 20_000, 12_000)
 
 # Number of levels tried where other data centres hold the missing layers.
 DEFERRED_LEVELS: Final = 2
@@ -60,34 +60,34 @@
 def plan_orders(
     engines: Sequence[Engine],
     spec: config.EngineSpec,
-    elsewhere: Sequence[upstreams.Layers] = (),
-    rooms: Sequence[float] = ROOMS,
+    remote_ranges: Sequence[upstreams.Layers] = (),
+    kv_levels: Sequence[float] = KV_TOKENS_LEVELS,
 ) -> dict[str, upstreams.Layers]:
     """Returns the new layer range of each engine whose range changes.
 
     Args:
         engines: Live engines of one data centre.
         spec: Sizes of the model.
-        elsewhere: Ranges that live engines of other data centres hold.
-        rooms: KV cache tokens to leave on every layer, best level first.
+        remote_ranges: Ranges that live engines of other data centres hold.
+        kv_levels: KV cache tokens to leave on every layer, best level first.
     """
     ordered = sorted(engines, key=lambda e: (e.accelerator.pace, e.id))
     held = {e.id: e.held for e in ordered if e.held is not None}
     gaps = _find_gaps(held.values(), spec.layers)
     if not gaps:
-        return _add_copies(ordered, held, spec, rooms[0])
-    if held and not _find_gaps(elsewhere, spec.layers):
+        return _add_copies(ordered, held, spec, kv_levels[0])
+    if held and not _find_gaps(remote_ranges, spec.layers):
         # Paths use the other data centres meanwhile, so the repair can wait for
         # engines that no request uses and need not fill any accelerator.
         movable = frozenset(e.id for e in ordered if e.is_idle)
         repair = _close_gaps(
-            ordered, held, gaps, spec, movable, rooms[:DEFERRED_LEVELS]
+            ordered, held, gaps, spec, movable, kv_levels[:DEFERRED_LEVELS]
         )
         return repair.orders if repair.is_complete else {}
     movable = frozenset(e.id for e in ordered)
     # A partial repair is ordered too: its layers may complete those of another
     # data centre.
-    return _close_gaps(ordered, held, gaps, spec, movable, rooms).orders
+    return _close_gaps(ordered, held, gaps, spec, movable, kv_levels).orders
 
 
 def compute_max_layers(
@@ -98,7 +98,7 @@
     return min(spec.layers, int(accelerator.memory_bytes / each))
 
 
-def compute_room(
+def compute_kv_tokens(
     accelerator: config.Accelerator, spec: config.EngineSpec, count: int
 ) -> float:
     """Returns the KV cache tokens per layer with `count` layers held."""
@@ -234,7 +234,9 @@
                 more = _extend_range(self.assigned.get(engine.id), first, last)
                 if more is None:
                     continue
-                left = compute_room(engine.accelerator, self.spec, more.count)
+                left = compute_kv_tokens(
+                    engine.accelerator, self.spec, more.count
+                )
                 if left >= min_kv_tokens and (best is None or left > best[0]):
                     best = (left, engine, more)
             if best is None:
@@ -291,7 +293,7 @@
     part: upstreams.Layers,
     spec: config.EngineSpec,
 ) -> None:
-    kv_tokens = compute_room(engine.accelerator, spec, part.count)
+    kv_tokens = compute_kv_tokens(engine.accelerator, spec, part.count)
     for layer in range(part.first, min(part.last, len(layer_tokens))):
         layer_tokens[layer] += kv_tokens
 
--- a/tests/steps/ranges_steps.py
+++ b/tests/steps/ranges_steps.py
@@ -33,7 +33,7 @@
 def compute_rooms(engines: list[ranges.Engine]) -> dict[str, float]:
     """Returns each engine's room on a layer, in tokens."""
     return {
-        e.id: ranges.compute_room(e.accelerator, fleets.SPEC, e.held.count)
+        e.id: ranges.compute_kv_tokens(e.accelerator, fleets.SPEC, e.held.count)
         for e in engines
         if e.held
     }
