--- a/egretspur/orders/ranges.py
+++ b/egretspur/orders/ranges.py
@@ -80,7 +80,7 @@
     idle: frozenset[str]
     # Ids of engines too slow to answer in time: their layers are reassigned
     # as if the engines were lost, and they get no new ones.
-    slow: frozenset[str] = frozenset()
+    slow_engines: frozenset[str] = frozenset()
 
 
 @attrs.frozen
@@ -140,30 +140,30 @@
             self._held_since_s = now_s
         if now_s - self._held_since_s < DUTY_SETTLE_S:
             return
-        scene = self._view.get_snapshot()
-        if scene.cfg is None:
+        snapshot = self._view.get_snapshot()
+        if snapshot.cfg is None:
             return
-        present = {e.id for e in scene.engines}
+        present = {e.id for e in snapshot.engines}
         self._first_seen_s = {
             i: t for i, t in self._first_seen_s.items() if i in present
         }
-        for service in scene.cfg.find_engine_services():
+        for service in snapshot.cfg.find_engine_services():
             assert service.engine is not None
-            self._reconcile(service.name, service.engine, scene, now_s)
+            self._reconcile(service.name, service.engine, snapshot, now_s)
 
     def _reconcile(
         self,
         service: str,
         spec: config.EngineSpec,
-        scene: FleetSnapshot,
+        snapshot: FleetSnapshot,
         now_s: float,
     ) -> None:
         found = {
             e.id: e
-            for e in scene.engines
+            for e in snapshot.engines
             if e.service == service
             and e.accelerator in spec.accelerators
-            and e.id not in scene.slow
+            and e.id not in snapshot.slow_engines
         }
         for entry in found.values():
             self._check_order(entry, now_s)
@@ -173,7 +173,7 @@
                 spec.accelerators[e.accelerator],
                 self._get_expected_layers(e),
                 self._is_new(e.id, now_s),
-                e.id in scene.idle,
+                e.id in snapshot.idle,
             )
             for e in found.values()
         ]
@@ -181,10 +181,10 @@
             return
         others = [
             e.layers
-            for e in scene.remote_engines
+            for e in snapshot.remote_engines
             if e.service == service
             and e.layers is not None
-            and e.id not in scene.slow
+            and e.id not in snapshot.slow_engines
         ]
         orders = ranges.plan_orders(engines, spec, others)
         for engine_id, layers in orders.items():
--- a/egretspur/placement/planner.py
+++ b/egretspur/placement/planner.py
@@ -50,8 +50,9 @@
     writes: list[str] = attrs.Factory(list)
     unmet: list[str] = attrs.Factory(list)
     worse: list[str] = attrs.Factory(list)
-    tokens_per_s: float = 0.0
-    bound_tokens_per_s: float = 0.0
+    # Tokens per second of all chains: planned, and the upper bound.
+    total_rate: float = 0.0
+    total_bound: float = 0.0
     load_bytes: int = 0
 
 
@@ -85,8 +86,8 @@
         ),
         findings=records.Findings(
             before_tokens_per_s=round(_compute_current_rate(inputs), 1),
-            after_tokens_per_s=round(partial.tokens_per_s, 1),
-            bound_tokens_per_s=round(partial.bound_tokens_per_s, 1),
+            after_tokens_per_s=round(partial.total_rate, 1),
+            bound_tokens_per_s=round(partial.total_bound, 1),
             load_s=round(partial.load_bytes / store_rate, 1)
             if store_rate
             else 0.0,
@@ -179,10 +180,8 @@
     existing = _find_existing(inputs.state, intent, data_centre)
     for deployment in existing:
         partial.deployment_ids.append(deployment.id)
-        partial.tokens_per_s += sum(c.tokens_per_s for c in deployment.chains)
-        partial.bound_tokens_per_s += sum(
-            c.tokens_per_s for c in deployment.chains
-        )
+        partial.total_rate += sum(c.tokens_per_s for c in deployment.chains)
+        partial.total_bound += sum(c.tokens_per_s for c in deployment.chains)
     existing_count = sum(len(d.chains) for d in existing)
     if existing_count >= intent.replicas:
         _record_sharing(inputs.state, existing, intent, partial)
@@ -190,7 +189,7 @@
     local = [h for h in inputs.hosts if h.data_centre == data_centre]
     if not local:
         partial.unmet.append(
-            f"{data_centre}: the platform lists no hosts for it"
+            f"{data_centre}: the platform lists no hosts in this data centre"
         )
         return
     pool = grouping.Pool(make_machines(local, spec, intent.adapter, usage))
@@ -246,10 +245,8 @@
                 round(group.split.tokens_per_s, 3),
             )
         )
-        partial.tokens_per_s += group.split.tokens_per_s
-        partial.bound_tokens_per_s += split.compute_bound(
-            group.machines, spec.layers
-        )
+        partial.total_rate += group.split.tokens_per_s
+        partial.total_bound += split.compute_bound(group.machines, spec.layers)
         partial.load_bytes += spec.layers * layer_bytes
         partial.writes.extend(
             records.upstream_key(m.name) for m in group.machines
--- a/egretspur/placement/ranges.py
+++ b/egretspur/placement/ranges.py
@@ -173,8 +173,8 @@
 
     def _assign_available(self, gap: upstreams.Layers) -> upstreams.Layers:
         """Assigns a gap to available engines; returns the unassigned rest."""
-        start = gap.first
-        while start < gap.last:
+        position = gap.first
+        while position < gap.last:
             available = [
                 e for e in self._list_available() if e.id in self.movable
             ]
@@ -184,14 +184,16 @@
                 available[0].accelerator, self.spec, self.kv_tokens
             )
             if not self.is_first:
-                fair = math.ceil((gap.last - start) / len(available))
+                fair = math.ceil((gap.last - position) / len(available))
                 count = min(count, max(fair, MIN_REPAIR_LAYERS))
-            count = min(count, gap.last - start)
+            count = min(count, gap.last - position)
             if count <= 0:
                 break
-            self._assign(available[0], upstreams.Layers(start, start + count))
-            start += count
-        return upstreams.Layers(start, gap.last)
+            self._assign(
+                available[0], upstreams.Layers(position, position + count)
+            )
+            position += count
+        return upstreams.Layers(position, gap.last)
 
     def _list_available(self) -> list[Engine]:
         """Returns the engines that can be given other layers, best first.
@@ -251,15 +253,15 @@
 
 
 def _extend_range(
-    held: upstreams.Layers | None, first: int, last: int
+    current: upstreams.Layers | None, first: int, last: int
 ) -> upstreams.Layers | None:
     """Returns a range extended by one layer of a gap that adjoins it."""
-    if held is None:
+    if current is None:
         return None
-    if held.last == first:
-        return upstreams.Layers(held.first, first + 1)
-    if held.first == last:
-        return upstreams.Layers(last - 1, held.last)
+    if current.last == first:
+        return upstreams.Layers(current.first, first + 1)
+    if current.first == last:
+        return upstreams.Layers(last - 1, current.last)
     return None
 
 
@@ -267,7 +269,7 @@
     engines: Sequence[Engine],
     held: Mapping[str, upstreams.Layers],
     spec: config.EngineSpec,
-    min_kv_tokens: float,
+    kv_level: float,
 ) -> dict[str, upstreams.Layers]:
     """Assigns empty engines the layers with the least KV cache capacity."""
     orders: dict[str, upstreams.Layers] = {}
@@ -278,7 +280,7 @@
     for engine in engines:
         if engine.id in held or engine.is_new:
             continue
-        count = compute_max_layers(engine.accelerator, spec, min_kv_tokens)
+        count = compute_max_layers(engine.accelerator, spec, kv_level)
         if count <= 0:
             continue
         part = _find_scarcest_range(layer_tokens, held.values(), count)
--- a/tests/steps/decisions_steps.py
+++ b/tests/steps/decisions_steps.py
@@ -413,7 +413,7 @@
 @given("a link of the second that carries {rate:d} tokens/s")
 def step_link(context: Any, rate: int) -> None:
     context.machines[1] = attrs.evolve(
-        context.machines[1], link_tokens_s=float(rate)
+        context.machines[1], link_tokens_per_s=float(rate)
     )
 
 
