--- a/tests/orders/machine.py
+++ b/tests/orders/machine.py
@@ -1,9 +1,9 @@
 """Fuzzing of the order lease against an oracle.
 
-The oracle, in a few lines: of two orders sent by different holders, the later
-one's sending is after the longest flight of the earlier one; a process that
-was paused past its lease sends nothing; an engine that checks numbers never
-follows an older holder; one that doesn't ends with what is wanted.
+The oracle's rules: of two orders by different holders, the later one is sent
+after the longest time that the earlier one is in flight; a process paused past
+its lease sends nothing; an engine that checks fencing numbers never follows an
+older holder; one that doesn't check ends with the wanted holdings.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 
 @attrs.define
 class Daemon:
-    """A control daemon with a clock of its own.
+    """A control daemon with its own clock.
 
-    It is paused while the machine draws nothing for it.
+    It is paused while the machine draws no rule for it.
     """
 
     lease: leases.LeaseState
-    # Its clock's offset from real time.
+    # Offset of its clock from real time.
     skew_s: float
     state: states.State = attrs.Factory(states.State)
 
 
 @attrs.frozen
 class Sent:
-    """An order on its way."""
+    """An order in flight."""
 
     fence: int
     sent_s: float
@@ -45,13 +45,13 @@
 
 
 class LeaseMachine(stateful.RuleBasedStateMachine):
-    """Daemons that want the lease of one data centre."""
+    """Daemons that compete for the lease of one data centre."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.entries: list[records.Entry] = []
-        # Appends on their way to the log: they arrive when they like.
+        # Appends in flight to the log; they arrive in any order.
         self.appends: list[records.LeaseTaken] = []
         self.daemons = [self._make_daemon(i, 0) for i in range(3)]
         self.sent: list[Sent] = []
@@ -59,21 +59,21 @@
 
     @stateful.rule(who=PROCESS)
     def look(self, who: int) -> None:
-        """A daemon looks at the lease and asks if it may."""
+        """A daemon reads the lease and requests it if it is free."""
         daemon = self.daemons[who]
         self._observe(daemon)
         now = self._get_clock(daemon)
-        ask = leases.decide(daemon.lease, OPTS, now)
-        if isinstance(ask, leases.Acquire):
+        decision = leases.decide(daemon.lease, OPTS, now)
+        if isinstance(decision, leases.Acquire):
             self.numbers += 1
             record = leases.make_record(
-                daemon.lease, OPTS, ask, f"l{self.numbers}", 0, now
+                daemon.lease, OPTS, decision, f"l{self.numbers}", 0, now
             )
             self.appends.append(record)
 
     @stateful.rule(data=st.data(), lost=st.booleans())
     def arrive(self, data: Any, lost: bool) -> None:
-        """An append reaches the log, or is lost, perhaps very late."""
+        """An append reaches the log, possibly very late, or is lost."""
         if not self.appends:
             return
         index = data.draw(st.integers(0, len(self.appends) - 1))
@@ -84,14 +84,14 @@
 
     @stateful.rule(who=PROCESS, count=st.integers(1, 5))
     def read(self, who: int, count: int) -> None:
-        """A daemon reads the log, perhaps not to its head."""
+        """A daemon reads the log, possibly not to its head."""
         daemon = self.daemons[who]
         at = daemon.state.offset
         fold.apply_all(daemon.state, self.entries[at : at + count])
 
     @stateful.rule(who=PROCESS, count=st.integers(1, 3))
     def act(self, who: int, count: int) -> None:
-        """A daemon works a while: reads, looks, sends."""
+        """A daemon runs some rounds: reads, updates its lease, sends."""
         for _ in range(count):
             self.read(who, 5)
             self.look(who)
@@ -104,7 +104,7 @@
 
     @stateful.rule(who=PROCESS)
     def send(self, who: int) -> None:
-        """A daemon sends an order if the last check lets it."""
+        """A daemon sends an order if the lease permits it."""
         daemon = self.daemons[who]
         fence = leases.get_send_fence(
             daemon.lease, OPTS, self._get_clock(daemon)
@@ -114,7 +114,7 @@
 
     @stateful.rule(who=PROCESS)
     def send_at_the_last(self, who: int) -> None:
-        """A holder that was paused sends in the last moment it may."""
+        """A holder that was paused sends at the last permitted moment."""
         daemon = self.daemons[who]
         end = daemon.lease.held_until_s - daemon.skew_s
         if daemon.lease.held_offset and end > self.now:
@@ -123,20 +123,20 @@
 
     @stateful.rule(who=PROCESS)
     def take_at_the_first(self, who: int) -> None:
-        """A daemon takes the lease in the first moment it may."""
+        """A daemon takes the lease at the first permitted moment."""
         daemon = self.daemons[who]
         self.read(who, 50)
         self._observe(daemon)
         wait_s = OPTS.duration_s + OPTS.margin_s + OPTS.flight_s
         free_at = daemon.lease.observed.first_seen_s + wait_s - daemon.skew_s
-        # A look just before it may must not take it.
+        # Attempts before the lease is free must not take it.
         for moment in (free_at - 2.5, free_at - 1.5, free_at):
             self.now = max(self.now, moment)
             self.act(who, 1)
 
     @stateful.rule(first=PROCESS, second=PROCESS, late_s=st.floats(0, 5.5))
     def hand_over(self, first: int, second: int, late_s: float) -> None:
-        """One asks and reads its lease back late; another takes over."""
+        """One requests the lease, reads it back late; another takes over."""
         if first == second:
             return
         self.read(first, 50)
@@ -153,7 +153,7 @@
         self.send_at_the_last(first)
 
     def arrive_first(self) -> None:
-        """The oldest append on its way reaches the log."""
+        """The oldest append in flight reaches the log."""
         record = self.appends.pop(0)
         self.entries.append(records.Entry(len(self.entries) + 1, record))
 
@@ -170,7 +170,7 @@
 
     @stateful.invariant()
     def holders_do_not_meet(self) -> None:
-        """Checks every pair of orders in a row of different holders."""
+        """Checks consecutive orders of different holders."""
         for first, second in zip(self.sent, self.sent[1:], strict=False):
             if first.by == second.by:
                 continue
--- a/tests/orders/orders.feature
+++ b/tests/orders/orders.feature
@@ -1,20 +1,20 @@
-Feature: Orders from one holder, put right by whoever comes next
+Feature: Orders from one lease holder, corrected by its successor
 
   Scenario: A holder paused past its lease
-    # Symptom: an engine flaps between two wishes. Sequence: the holder is
-    # paused, another takes over, the first wakes up. Cause: a lease checked
-    # too early.
+    # Guards against an engine flapping between the orders of two holders: the
+    # holder is paused, another takes over, and the first resumes and sends
+    # under a lease that it checked too early.
     Given one data centre with two control daemons
     And an intent in force in "kl-hall"
     When the holder of the lease is paused
     Then the other takes the lease within 10 s
-    When the first holder wakes up
+    When the first holder resumes
     Then it sends no order for 3 s
 
-  Scenario: A late order of an old holder
-    # Symptom: an engine loses its layers to an order from the past. Sequence:
-    # an order with an old number arrives late. Cause: engines that ignore the
-    # number, and nobody who looks again.
+  Scenario: A late order of a former holder
+    # Guards against an engine losing its layers to an outdated order: one with
+    # an old fencing number arrives late at an engine that ignores the number,
+    # and the holdings are not compared again.
     Given one data centre with two control daemons
     And an intent in force in "kl-hall"
     When an order with an old number empties engines "r1-a" and "r2-a"
@@ -22,10 +22,10 @@
     And "r2-a", which does not, holds its layers again within 5 s
 
   Scenario: The holder dies while a plan loads
-    # Symptom: a plan stays half done over a shift change.
+    # Guards against a plan that stays half loaded after a change of holder.
     Given one data centre with two control daemons
     When a slow plan is confirmed and the holder of the lease is killed
-    Then the plan comes into force all the same
+    Then the plan still comes into force
 
   Scenario: An order's answer is lost
     Given one data centre with two control daemons
@@ -34,8 +34,8 @@
     Then every engine's holdings are those of the plan
 
   Scenario: A dead engine's layers go to a spare
-    # What may be repaired under a confirmed intent without asking: the same
-    # layers on a free engine of the same data centre.
+    # A confirmed intent permits this repair without a new confirmation: the
+    # same layers on a free engine of the same data centre.
     Given one data centre with two control daemons
     And an intent in force in "kl-hall" on one chain with a spare
     When an engine of the chain is killed
--- a/tests/orders/steps.feature
+++ b/tests/orders/steps.feature
@@ -1,8 +1,8 @@
-Feature: Which orders are due
+Feature: Due orders
 
-  Scenario Outline: Holdings are compared with what is wanted
-    # Symptom: lost, doubled or late orders stay as they are. Cause: orders
-    # sent on events instead of by comparison.
+  Scenario Outline: Reported holdings are compared with wanted ones
+    # Guards against lost, duplicated or late orders that are never corrected,
+    # as happens if orders are sent on events instead of by comparison.
     Given an engine that holds "<holds>" and loads "<loads>"
     When "<wanted>" is wanted, <age> s after it stopped wanting the rest
     Then the order due is "<order>"
@@ -17,9 +17,9 @@
       | a b   |       | b      | 9   | b     |
       | a     |       |        | 9   | empty |
 
-  Scenario: Few loads at a time, the urgent ones first
-    # Symptom: an urgent plan waits behind many others' loads. Cause: all
-    # loads share the weight store's rate at once.
+  Scenario: A limit on parallel loads, highest priority first
+    # Guards against an urgent plan delayed by the loads of many others: all
+    # parallel loads share the rate of the weight store.
     Given 5 engines that need a load, of priorities 1 to 5
     When 2 may load at once and 1 more is loading
     Then only the engine of priority 5 is ordered
--- a/tests/placement/placement.feature
+++ b/tests/placement/placement.feature
@@ -1,7 +1,7 @@
-Feature: Layers go where joint throughput is highest
+Feature: Placement of layers for the highest throughput
 
   Scenario Outline: The split of one chain
-    # Symptom: a fast host waits for a slow one. Cause: even splits.
+    # Guards against a fast host waiting for a slow one, as with even splits.
     Given machines with speed and room "<machines>"
     When <layers> layers are split
     Then the layers are "<counts>" at <rate> tokens/s, even split <even>
@@ -19,17 +19,17 @@
     When 16 layers are split
     Then the chain runs at 5 tokens/s
 
-  Scenario: Racks are spread as the intent asks
+  Scenario: Chains are spread over racks as the intent asks
     Given 4 racks with 4 equal hosts each
     When an intent asks for 4 chains over 4 racks
     Then the chains stand in 4 racks and the plan has nothing unmet
 
-  Scenario: A wish that can't be met is a plan that says so
+  Scenario: The plan of an intent that can't be met names what is missing
     Given 1 racks with 2 equal hosts each
     When an intent asks for 3 chains over 1 racks
     Then the plan has 1 chains and says "3 new chains wanted, 1 fit"
 
-  Scenario: A further workspace on the same model moves nothing
+  Scenario: A second workspace on the same model causes no loads
     Given 2 racks with 4 equal hosts each
     When two workspaces ask for the same model
     Then the second plan loads nothing and names the first as sharing
--- a/tests/placement/ranges.feature
+++ b/tests/placement/ranges.feature
@@ -1,8 +1,8 @@
 Feature: Which engine holds which layers
 
   Scenario Outline: An empty data centre
-    # Symptom: a chain refuses everything though its layers are all there.
-    # Cause: cards filled with layers have no memory for requests.
+    # Guards against a chain that holds all layers and refuses every request:
+    # accelerators filled with layers have no memory for requests.
     Given the empty engines of "<data centre>"
     When layers are planned
     Then every layer is held
@@ -16,9 +16,9 @@
       | cj-hall     |
 
   Scenario Outline: Any one engine is lost
-    # Symptom: a data centre without some layers for as long as a long load.
-    # Sequence: an engine dies, its layers go to whoever is first. Cause: a
-    # repair that moves many layers, or a fast engine off its own.
+    # Guards against a data centre without some layers for the time of a long
+    # load: an engine dies and its layers go to the first engine found, so the
+    # repair moves many layers or takes a fast engine off its own layers.
     Given the engines of "<data centre>" as planned
     Then whichever engine is lost, a plan holds every layer again
     And no engine loads more than 8 layers for it
@@ -31,8 +31,8 @@
       | cj-hall     |
 
   Scenario: A gap of one layer
-    # Symptom: a data centre loses 15 layers over a gap of one. Sequence: a
-    # fast engine twinned by a slow one is moved to the gap; the slow one dies.
+    # Guards against losing 15 layers because of a gap of one: a fast engine
+    # whose layers a slow one also holds is moved to the gap; the slow one dies.
     Given engines
       | engine | layers |
       | a100-0 | 0-25   |
@@ -45,9 +45,10 @@
     Then "l40s-0" is ordered to hold "25-41"
     And nothing else is ordered
 
-  Scenario: Cards that can't hold what is missing without crowding
-    # Symptom: a data centre refuses everything after a repair. Cause: a card
-    # filled to the last layer; other data centres would have served.
+  Scenario: Accelerators too small to hold the missing layers
+    # Guards against a data centre that refuses every request after a repair:
+    # an accelerator is filled with layers, though other data centres could
+    # serve the requests.
     Given engines
       | engine | layers |
       | l40s-0 | 0-15   |
@@ -56,9 +57,10 @@
     When layers are planned
     Then every engine keeps room for at least 12000 tokens
 
-  Scenario: A new engine is kept free where one is about to leave
-    # Symptom: the layers of a replaced engine come seconds late. Sequence: the
-    # new one comes first and loads a twin's layers; the old one leaves.
+  Scenario: A new engine is kept empty where another is about to leave
+    # Guards against the layers of a replaced engine being available seconds
+    # late: the new one is listed first and loads a copy of other layers, then
+    # the old one leaves.
     Given engines
       | engine | layers |
       | a100-0 | 0-25   |
@@ -66,16 +68,16 @@
       | l40s-0 | 50-65  |
       | l40s-1 | 65-80  |
       | l40s-2 | none   |
-    And "l40s-2" has just come
+    And "l40s-2" has just been listed
     When layers are planned
     Then nothing else is ordered
     When "l40s-0" leaves and layers are planned
     Then "l40s-2" is ordered to hold "50-65"
 
   Scenario: Engines in use are not moved while other data centres serve
-    # Symptom: a burst and a lost engine take two ranges away. Sequence: a
-    # twin in use is ordered to other layers; it refuses new requests until
-    # its old ones are done.
+    # Guards against losing two ranges to a burst and one lost engine: a copy in
+    # use is ordered to hold other layers and refuses new requests until its
+    # old ones are done.
     Given engines
       | engine | layers |
       | a100-0 | 0-25   |
@@ -95,5 +97,5 @@
   @fuzz
   Scenario: Any engines, any losses
     When plans for random data centres are followed through random losses
-    Then no card is ever ordered to hold more than its memory
+    Then no accelerator is ever ordered to hold more than its memory
     And no plan takes away the last holder of a layer
--- a/tests/steps/orders_steps.py
+++ b/tests/steps/orders_steps.py
@@ -69,7 +69,7 @@
     )
 
 
-@when("the first holder wakes up")
+@when("the first holder resumes")
 def step_wake(context: Any) -> None:
     # Something to order: were it to act, it would act now.
     context.before = sum(
@@ -139,7 +139,7 @@
     play.processes[holder].kill()
 
 
-@then("the plan comes into force all the same")
+@then("the plan still comes into force")
 def step_all_the_same(context: Any) -> None:
     def is_active() -> bool:
         plan = context.play.call(
--- a/tests/steps/ranges_orders_steps.py
+++ b/tests/steps/ranges_orders_steps.py
@@ -83,7 +83,7 @@
     names: list[str]
     lag_s: float = 0.0
     has_duty: bool = True
-    slow: frozenset[str] = frozenset()
+    slow_engines: frozenset[str] = frozenset()
     learned: dict[str, upstreams.Layers] = attrs.Factory(dict)
     # What the engines held, by time, for a list that lags.
     history: list[tuple[float, dict[str, Any]]] = attrs.Factory(list)
@@ -116,7 +116,7 @@
             tuple(listed),
             (),
             frozenset(self.names),
-            self.slow,
+            self.slow_engines,
         )
 
 
@@ -134,7 +134,7 @@
 
 
 def run_rounds(context: Any, seconds: float) -> None:
-    """Lets rounds go on."""
+    """Runs rounds for some seconds."""
     end_s = context.clock.now_s + seconds
     while context.clock.now_s < end_s:
         context.clock.now_s += ROUND_S
@@ -176,19 +176,19 @@
     assert not early, early
 
 
-@when("rounds go on for {seconds:d} s")
+@when("rounds run for {seconds:d} s")
 def step_rounds(context: Any, seconds: int) -> None:
     run_rounds(context, seconds)
 
 
-@when("the only holder of some layers is too slow for prompt answers")
+@when("the only holder of some layers is too slow to answer in time")
 def step_late(context: Any) -> None:
     held = context.host.engines.held
     for name, mine in held.items():
         others = [(h.first, h.last) for i, h in held.items() if i != name and h]
         if mine and paths.find_gaps(others, fleets.SPEC.layers):
             context.slow = name
-            context.host.slow = frozenset([name])
+            context.host.slow_engines = frozenset([name])
             return
     raise AssertionError(held)
 
@@ -203,7 +203,7 @@
     assert not paths.find_gaps(others, fleets.SPEC.layers), others
 
 
-@when("rounds go on for {seconds:d} s while the list lags {lag:d} s behind")
+@when("rounds run for {seconds:d} s while the list lags {lag:d} s behind")
 def step_lagging(context: Any, seconds: int, lag: int) -> None:
     context.host.lag_s = lag
     done = Done()
@@ -215,7 +215,7 @@
     context.done = done.upstreams
 
 
-@when("the duty lapses after the first order of a round")
+@when("the duty expires after the first order of a round")
 def step_lapse(context: Any) -> None:
     def lapse() -> None:
         context.host.has_duty = False
--- a/tests/steps/ranges_steps.py
+++ b/tests/steps/ranges_steps.py
@@ -61,7 +61,7 @@
     context.elsewhere = []
 
 
-@given('"{name}" has just come')
+@given('"{name}" has just been listed')
 def step_new(context: Any, name: str) -> None:
     context.engines = [
         attrs.evolve(e, is_new=e.id == name) for e in context.engines
@@ -190,7 +190,7 @@
     check()
 
 
-@then("no card is ever ordered to hold more than its memory")
+@then("no accelerator is ever ordered to hold more than its memory")
 @then("no plan takes away the last holder of a layer")
 def step_checked(context: Any) -> None:
     # The checks run at every step of every history.
