--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -139,7 +139,7 @@
             self._desk, self._probe, self._exchange.send_soon, self._saver.take
         )
         self._duty = duty.Duty(group, self._exchange)
-        self._keeper = ranges.RangeKeeper(self._duty, self._engines, self)
+        self._keeper = ranges.RangeReconciler(self._duty, self._engines, self)
         self._versions = config.Versions()
         # As it was last told to others.
         self._known = reading.Known(0, 0, math.inf)
@@ -286,14 +286,14 @@
         app.add("GET", names.READY_PATH, get_ready)
         return app
 
-    def learn(self, upstream_id: str, layers: upstreams.Layers) -> None:
+    def record_layers(self, upstream_id: str, layers: upstreams.Layers) -> None:
         """Takes what an engine reports to hold after an order."""
         self._desk.tell(desk.LayersReported(upstream_id, layers))
 
-    def look(self) -> ranges.Scene:
+    def get_snapshot(self) -> ranges.FleetSnapshot:
         """Returns what the keeper of layers looks at."""
 
-        def read(state: broker.Broker) -> ranges.Scene:
+        def read(state: broker.Broker) -> ranges.FleetSnapshot:
             now_s = time.monotonic()
             view = state.fleet
             live = [
@@ -304,7 +304,7 @@
             ]
             home = self._cfg.data_centre
             cfg = self._versions.newest
-            return ranges.Scene(
+            return ranges.FleetSnapshot(
                 cfg,
                 tuple(e for e in live if e.data_centre == home),
                 tuple(e for e in live if e.data_centre != home),
@@ -316,7 +316,7 @@
                 self._find_late(view, now_s),
             )
 
-        scene: ranges.Scene = self._desk.query(read)
+        scene: ranges.FleetSnapshot = self._desk.query(read)
         return scene
 
     def _find_late(self, view: fleet.Fleet, now_s: float) -> frozenset[str]:
