--- a/tests/catalog/catalog.feature
+++ b/tests/catalog/catalog.feature
@@ -1,4 +1,4 @@
-Feature: What a host knows of configuration and upstreams
+Feature: Configuration, list of upstreams, and their feeds
 
   Scenario Outline: The route of a request
     Given routes "/a/, /a/b/, /a/b/c/" of host "desk.example"
@@ -19,17 +19,17 @@
     When 2000 services are chosen
     Then between 1720 and 1880 are the first
 
-  Scenario: An upstream that leaves
-    # Symptom: work reaches an upstream long after it said that it leaves.
-    # Sequence: an entry from before arrives after the one that says so.
+  Scenario: A delayed entry of a draining upstream
+    # Guards against requests to a draining upstream: an entry from before it
+    # drained arrives after the one that says so.
     Given an upstream "u" that is listed
     When it is listed as draining
     And it is listed as ready again
     Then it is still draining
 
-  Scenario: Entries that lapsed while the store was away
-    # Symptom: a data centre without upstreams for two seconds. Sequence: the
-    # store was away and comes back; the entries follow within two seconds.
+  Scenario: Entries that lapsed during an outage of the store
+    # Guards against a data centre without upstreams for two seconds: after an
+    # outage of the store, entries are written again within two seconds.
     Given an upstream "u" that is listed
     When the store returns and the entry is missing
     Then it is kept for 1.9 s and gone after 2.1 s
@@ -37,34 +37,34 @@
     Then it is gone at once
 
   Scenario: A server that restarts at its address
-    # Symptom: an engine answers 400. Sequence: it restarts under another id,
-    # both entries are listed for a while, and a path names both.
+    # Guards against status 400 of an engine: it restarts under another id, both
+    # entries are listed for some time, and a path contains both.
     Given an upstream "u" that is listed
     When upstream "v" is listed at the address of "u"
     Then only "v" is listed
     When the entry of "u" is removed
     Then only "v" is listed
 
-  Scenario: Layers that an engine reported itself
-    # Symptom: requests go to layers that are no longer there. Sequence: an
-    # engine reports new layers; its entry from before is read after.
+  Scenario: Reported layers override an older entry
+    # Guards against requests to layers that an engine no longer holds: it
+    # reports new layers, and its entry from before is read later.
     Given an upstream "u" that is listed
     When it reports layers "20-31" and an older entry says "0-20"
     Then it holds "20-31"
     When its entry says "0-20" 5 s later
     Then it holds "0-20"
 
-  Scenario: Layers that an engine reported, and a list that says otherwise
-    # Symptom: requests are sent for good to layers that are no longer held.
-    # Sequence: an engine restarts after its report; its entry is not written
-    # anew, since it says what it said before.
+  Scenario: Reported layers expire
+    # Guards against requests to layers that an engine never holds again: it
+    # restarts after its report, and its entry is not rewritten, since its
+    # value is the same as before.
     Given an upstream "u" that is listed
     When it reports layers "20-31"
     Then it holds "20-31" until 3.9 s later and "0-20" after 4.1 s
 
-  Scenario: History that is no longer kept
-    # Symptom: an upstream that has left stays on the list. Sequence: its
-    # removal was dropped from the history before it was read.
+  Scenario: Expired history
+    # Guards against a removed upstream that stays on the list: its removal was
+    # dropped from the store's history before it was read.
     Given a feed whose source forgot its history and an entry
     When it reads on
     Then it takes the newest state as a whole, without the entry
@@ -76,15 +76,15 @@
     And the sink is told that the source is back
 
   Scenario: An older configuration
-    # Symptom: a route that was removed works again. Sequence: a read that was
-    # under way for long brings an older version.
+    # Guards against a removed route that works again: a delayed read returns an
+    # older version.
     Given a host that has configuration 7 in force
     When configuration 6 is read
     Then configuration 7 is in force
 
-  Scenario Outline: What a host hands to another
-    # Symptom: an upstream that has left stays on another host's list, or its
-    # removal takes an entry away that was written again.
+  Scenario Outline: The snapshot for another host
+    # Guards against a removed upstream that stays on another host's list, and
+    # against a removal that deletes an entry written again since.
     Given a topic that was read whole up to offset 10 with keys "a, b"
     When "b" is dropped, "c" written and "a" written as it was
     Then a host that has read up to <offset> is handed <what>
@@ -98,8 +98,8 @@
       | 13     | changes ""       |
       | 14     | nothing          |
 
-  Scenario: Many keys that were dropped
-    # Symptom: a host's memory grows with each upstream that ever left.
+  Scenario: Many removed keys
+    # Guards against memory that grows with each upstream ever removed.
     Given a topic that was read whole up to offset 10 with keys "a, b"
     When 300 other keys are written and dropped
     Then at most 256 changes are ever handed over
@@ -110,22 +110,22 @@
     Then they count as no answer
 
   Scenario: A large configuration
-    # Symptom: hosts have no room left on their links for callers while a
-    # configuration of 1,640 routes goes from host to host.
+    # Guards against links that are too busy for callers while hosts send each
+    # other a configuration of 1,640 routes.
     Then a configuration of 1640 routes takes a tenth when handed over
 
-  Scenario: A host that asks its neighbours first
-    # Symptom: calls to the store grow with the hosts and the changes.
+  Scenario: A host that calls other hosts before the store
+    # Guards against calls to the store that grow with hosts times changes.
     Given a source that asks other hosts first
     When it reads while a host answers
     Then the store was not called
     When it reads while no host answers
     Then the store was called once
 
-  Scenario: A host that starts among others
-    # Symptom: a host that starts again refuses its callers for a second and
-    # more. Cause: it read a large configuration from the store over a link of
-    # 10 Mbit/s, while its neighbours have it in a twentieth of the bytes.
+  Scenario: A host that starts while others run
+    # Guards against a restarted host that refuses its callers for more than a
+    # second, since it reads a large configuration from the store over a link of
+    # 10 Mbit/s. Other hosts send it in a twentieth of the bytes.
     Given a source that asks other hosts at its start
     When it reads all while a host answers
     Then the store was not called
@@ -137,17 +137,17 @@
     When it reads all while no host answers
     Then the store was asked for all once
 
-  Scenario: A host that the store turns away
-    # Symptom: keys that were taken away still work at some hosts. Sequence:
-    # the store refuses them, serves the others, and a version is written.
+  Scenario: A host that the store refuses
+    # Guards against revoked API keys that still work at some hosts: the store
+    # refuses these hosts, serves the others, and a new version is written.
     Given a source that asks the store first
     When it reads while the store is away and a host answers
     Then what the host has is taken, and the store counts as lost
 
-  Scenario: Pokes while the store is away
-    # Symptom: a host that the store turns away calls it twenty times a
-    # second. Sequence: its neighbours, which the store serves, know something
-    # newer and say so four times a second each.
+  Scenario: Wake-ups during an outage of the store
+    # Guards against a refused host that calls the store twenty times a second:
+    # other hosts, which the store serves, have newer state and send peer
+    # updates four times a second each.
     Given a feed whose source always fails
-    When it is poked 50 times within 0.5 s
+    When it is woken 50 times within 0.5 s
     Then its source was called at most 20 times
--- a/tests/catalog/copies.feature
+++ b/tests/catalog/copies.feature
@@ -1,17 +1,17 @@
-Feature: The store comes back from an older copy
+Feature: The store is restored from an older copy
 
-  Scenario Outline: A follower of the list across copies
-    # Symptom: a host keeps upstreams that no longer exist, and never sees
-    # others. Sequence: it has read up to an offset, the store loses the last
-    # records, and others are written at the same offsets. Cause: offsets that
-    # are compared without the era.
+  Scenario Outline: Hosts follow the list across restores
+    # Guards against hosts that keep removed upstreams and never see new ones: a
+    # host has read up to an offset, the store loses the last records, and
+    # others are written at the same offsets. Offsets compared without the era
+    # cause this.
     Given hosts that have read "<known>"
     When the store loses the last <lost> records, and "<written>" are written
     And all of them read
     Then all have "<now>"
     And after another heartbeat of "<living>" and 8.5 s all have "<living>"
 
-    Examples: as long again, longer, the same keys, shorter, two in a row
+    Examples: same length, longer, same keys, shorter, nothing written
       | known | lost | written  | now    | living |
       | a b c | 2    | d e      | a b c  | a d e  |
       | a b c | 2    | d e b    | a b c  | a b d e |
@@ -20,16 +20,16 @@
       | a b c | 3    | -        | a b c  | a b c  |
 
   Scenario: A removal is lost
-    # Symptom: an upstream that is gone is given work again.
+    # Guards against requests to an upstream that was removed.
     Given hosts that have read "a b c"
     And "c" is removed, and all have read that
     When the store loses the last 1 records, and "-" are written
     And all of them read
     Then all have "a b"
 
-  Scenario: The word that an upstream leaves is lost
-    # Symptom: an upstream that leaves is given work beyond its time, by hosts
-    # that took the list from others after the copy.
+  Scenario: The draining state of an upstream is lost
+    # Guards against late requests to a draining upstream, from hosts that
+    # received the list from others after the restore.
     Given hosts that have read "a b c"
     And "c" says that it leaves, and all have read that
     When the store loses the last 1 records, and "-" are written
@@ -37,7 +37,7 @@
     And another host starts and takes what they have
     Then all have "a b"
 
-  Scenario: Two copies in a row, and a host that was frozen
+  Scenario: Two restores in a row, and a host that was frozen
     Given hosts that have read "a b c"
     And "c" is removed, and all but the last have read that
     When the store loses the last 1 records, and "d" are written
@@ -46,9 +46,10 @@
     Then all but the last have "a b"
     And after another heartbeat of "a b d e" and 8.5 s all have "a b d e"
 
-  Scenario: A host that the store turns away
-    # Symptom: it goes on with what its neighbours no longer have. Sequence: a
-    # neighbour has read the copy; this host has read more than the copy holds.
+  Scenario: A host that the store refuses
+    # Guards against a host that keeps state which other hosts no longer have:
+    # another host has read the restored store, and this one has read more than
+    # that contains.
     Given hosts that have read "a b c"
     When the store loses the last 2 records, and "d" are written
     And all but the last read
@@ -57,15 +58,16 @@
     And the last one's era is the store's
     And it refuses what a host hands it that has not read the copy
 
-  Scenario: An answer that was under way for long
-    # Symptom: a host goes back to what the store had before its copy.
+  Scenario: A delayed answer
+    # Guards against a host that returns to the store's state from before the
+    # restore.
     Given a client of a store in its second era
     When an answer of the first era comes
     Then it counts as no answer, and one of the third era is taken
 
-  Scenario Outline: The configuration across a copy
-    # Symptom: a key that was taken away is let in again. Sequence: the copy is
-    # from before the change; a host that starts meanwhile asks its neighbours.
+  Scenario Outline: The configuration across a restore
+    # Guards against a revoked API key that is accepted again: the copy is from
+    # before the change, and a host that starts meanwhile calls other hosts.
     Given hosts that have read configuration 7 and then 9
     When the store loses the last 1 records, and configuration <written> comes
     Then all have configuration <now>, and so has a host that starts
@@ -77,20 +79,21 @@
       | 9       | 9   |
       | 11      | 11  |
 
-  Scenario: An operator writes again, one version after the other
-    # Symptom: a host that starts after a copy lets in a key that was taken
-    # away. Sequence: the copy was read, then the operator's older versions come
-    # once more; hosts in force at the newest hand the older ones to new hosts.
+  Scenario: An operator rewrites one version after the other
+    # Guards against a host that starts after a restore and accepts a revoked
+    # API key: the restored store was read, then the operator's older versions
+    # are written again, and hosts that have the newest one in force send the
+    # older ones to new hosts.
     Given hosts that have read configuration 7 and then 9
     When the store loses the last 2 records, and configuration none comes
     And configurations 7 and 8 come and are read in turn
     Then all have configuration 9, and so has a host that starts
     And one that has read the store itself before it asks them
 
-  Scenario: Requests in quarantine are written again, once
-    # Symptom: all hosts are killed after a copy, and a request that ends
-    # engines is sent again. Sequence: the copy lacks its record.
-    Given three savers of hosts, the first one of which wrote "f1" of late
+  Scenario: Quarantined requests are rewritten once
+    # Guards against a request that crashes engines and is sent again: the copy
+    # lacks its record, and all hosts are killed after the restore.
+    Given three quarantine writers, the first of which recently wrote "f1"
     And all know "f1" and "f2" from the store
     When the store comes back without both
     Then the first writes "f1" at once
--- a/tests/catalog/copies.py
+++ b/tests/catalog/copies.py
@@ -1,10 +1,13 @@
-"""Fuzzing of hosts that follow the store across copies of it.
+"""Fuzzing of hosts that follow the store across restores.
 
-The oracle, in a few lines: an upstream that a host knew to be leaving or gone
-is never given work there again in that start; a version never goes back at a
-host; and once all that live have written again and the silent have lapsed,
-every host has the list that the store has, whether it reads the store or is
-handed it.
+The oracle checks that
+
+- a host never sends requests to a start of an upstream that it knew to be
+  draining or removed;
+- a version never decreases at a host;
+- every host has the store's list once all live servers have written again and
+  the entries of the silent have lapsed, whether the host reads the store or
+  receives snapshots.
 """
 
 from __future__ import annotations
@@ -22,7 +25,7 @@
 SERVERS: Final = 3
 SERVER: Final = st.integers(1, SERVERS)
 
-# The last one is turned away by the store.
+# The store refuses the last one.
 HOSTS: Final = 3
 HOST: Final = st.integers(0, HOSTS - 1)
 
@@ -31,7 +34,7 @@
 
 @attrs.define
 class Server:
-    """What the oracle knows of a server."""
+    """The oracle's state of a server."""
 
     born_ms: int = listing.BORN_MS
     is_draining: bool = False
@@ -39,7 +42,7 @@
 
 
 class Follower:
-    """A host with the list and one versioned value, and what it once knew."""
+    """A host that follows the list and one versioned value."""
 
     def __init__(self, log: listing.Log, versions: listing.Log, clock: Any):
         self.listed = listing.Host(log, clock)
@@ -53,9 +56,9 @@
         )
         self.at: positions.Position | None = None
         self.version = 0
-        # Ids of starts that it has had on its list.
+        # Ids of the starts that were ever on its list.
         self.seen: set[str] = set()
-        # Of those it knew to be leaving, or dead and gone.
+        # Ids of those that it knew to be draining, or dead and removed.
         self.barred: set[str] = set()
 
     def read(self, now_s: float) -> None:
@@ -69,7 +72,7 @@
         self.at = res.next
 
     def take_from(self, other: Follower, now_s: float) -> None:
-        """Takes what another host hands over."""
+        """Applies a snapshot of another host."""
         if other.at is None:
             return
         self.listed.take_from(other.listed, now_s)
@@ -81,7 +84,7 @@
 
 
 class CopiesMachine(stateful.RuleBasedStateMachine):
-    """Upstreams, an operator, and hosts before a store that loses records."""
+    """Upstreams, an operator and hosts, with a store that loses records."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -111,7 +114,7 @@
 
     @stateful.rule(number=SERVER)
     def drain(self, number: int) -> None:
-        """A server says that it leaves."""
+        """A server starts to drain."""
         if self.servers[number].is_alive:
             self.servers[number].is_draining = True
             self.beat(number)
@@ -125,7 +128,7 @@
 
     @stateful.rule(number=SERVER)
     def restart(self, number: int) -> None:
-        """A server starts again under its name."""
+        """A server restarts under its name."""
         born_ms = self.servers[number].born_ms + 1000
         self.servers[number] = Server(born_ms)
         self.beat(number)
@@ -138,32 +141,32 @@
 
     @stateful.rule(back=st.integers(1, 6), others=st.integers(0, 2))
     def copy(self, back: int, others: int) -> None:
-        """The store comes back from a copy."""
+        """The store is restored from a copy."""
         self.log.copy(back)
         self.versions.copy(others)
 
     @stateful.rule(which=HOST)
     def read(self, which: int) -> None:
-        """A host reads the store, if that doesn't turn it away."""
+        """A host reads the store, unless the store refuses it."""
         if which < HOSTS - 1:
             self.hosts[which].read(self.now_s)
 
     @stateful.rule(giver=HOST, taker=HOST)
     def hand_over(self, giver: int, taker: int) -> None:
-        """A host takes what another one has."""
+        """A host receives a snapshot of another one."""
         if giver != taker:
             self.hosts[taker].take_from(self.hosts[giver], self.now_s)
 
     @stateful.rule(seconds=st.sampled_from([0.5, 5.0]))
     def pass_time(self, seconds: float) -> None:
-        """Time passes; in a long one the silent lapse, and all hosts read."""
+        """Advances the clock; if far, entries lapse and all hosts read."""
         self.now_s += seconds
         if seconds > listing.LAPSE_S:
             self._lapse()
             self._read_all()
 
     def _lapse(self) -> None:
-        """The store drops entries of the dead, if it has any."""
+        """The store removes the entries of dead servers."""
         newest = dict(self.log.records)
         for number, server in self.servers.items():
             if not server.is_alive and newest.get(f"e-{number}"):
@@ -176,7 +179,7 @@
 
     @stateful.invariant()
     def nothing_goes_back(self) -> None:
-        """Checks each host against what it once knew."""
+        """Checks each host against its earlier state."""
         for host in self.hosts:
             roster = host.listed.roster
             usable = host.listed.list_usable(self.now_s)
@@ -196,7 +199,7 @@
             host.seen |= set(roster.entries)
 
     def teardown(self) -> None:
-        """All write again, the silent lapse, all read: the lists are right."""
+        """Checks the lists after all have written, lapsed and read."""
         for _ in range(4):
             self.now_s += listing.LAPSE_S + 0.1
             for number in self.servers:
--- a/tests/catalog/entries.feature
+++ b/tests/catalog/entries.feature
@@ -1,12 +1,12 @@
-Feature: Starts of upstreams, and entries that can't be trusted
+Feature: Restarts of upstreams, and untrusted entries
 
   Background:
     Given a list with engines e-1 and e-2, and hosts that read it
 
-  Scenario Outline: An entry that is not an upstream's own
-    # Symptom: a good engine is gone from the list, or requests fail with a
-    # TypeError. Sequence: another writer adds an entry with the address of a
-    # good engine. Cause: whatever could be decoded was believed.
+  Scenario Outline: An entry of another writer
+    # Guards against a good engine that disappears from the list, and against
+    # requests that fail with a TypeError: another writer adds an entry with the
+    # address of a good engine. Trust in any decodable entry causes both.
     When an entry "x" at the address of e-1 is added with <field> = <value>
     Then every host uses e-1 and e-2 alone
     And every host has logged "x" once, for "<reason>"
@@ -37,7 +37,7 @@
       | seq_no       | "4"                                | seq_no       |
       | cold_left_ms | {}                                 | cold_left_ms |
 
-  Scenario Outline: Bytes that are no entry
+  Scenario Outline: An entry that can't be decoded
     When the bytes <bytes> are written as "x"
     Then every host uses e-1 and e-2 alone
     And every host has logged "x" once, for "<reason>"
@@ -50,9 +50,9 @@
       | \xff\xfe   | bytes  |
 
   Scenario Outline: A bad record under a good upstream's key
-    # It names no upstream to use until the next heartbeat, however a host
-    # reads it; its layers count as held meanwhile, so that nobody loads them
-    # for a record that is replaced a second later.
+    # The upstream gets no requests until its next heartbeat, however a host
+    # reads the record. Its layers count as held meanwhile, so that no other
+    # engine loads them for a record that is replaced a second later.
     When the record of e-1 is replaced by one with <field> = <value>
     Then every host uses e-2 alone
     And the hosts that knew e-1 still count its layers
@@ -65,27 +65,27 @@
       | service | "unheard-of" |
       | slots   | null         |
 
-  Scenario: A bad record that nothing replaces
+  Scenario: A bad record that is not replaced
     When the record of e-1 is replaced by one with state = "resting"
     And 4.1 s pass on the hosts' clocks
     Then no host knows e-1
 
-  Scenario: An entry from before the configuration that names its service
+  Scenario: An entry older than the configuration of its service
     When an entry "e-3" of service "later" is added
     Then every host uses e-1 and e-2 alone
     When a configuration with service "later" is in force
     Then every host uses e-1, e-2 and e-3
 
-  Scenario: A draining upstream starts again under its id
-    # Symptom: a healthy engine is given no work for good. Sequence: it says
-    # that it leaves, ends, and starts again under the id that it had.
+  Scenario: A draining upstream restarts under its name
+    # Guards against a healthy engine that never gets requests again: it drains,
+    # ends, and restarts under the same name.
     When e-1 says that it is draining
     Then every host uses e-2 alone
     When e-1 starts again, empty
     Then every host uses e-1 and e-2 alone
     And every host knows that e-1 holds nothing
 
-  Scenario: An entry of the former start comes late
+  Scenario: A delayed entry of the former start
     When e-1 starts again, empty
     And its entry from before is written once more
     Then every host knows that e-1 holds nothing
@@ -93,16 +93,16 @@
     And its entry from before is written once more
     Then every host that knew its new start uses e-2 alone
 
-  Scenario: What was known of an upstream ends with its start
-    # Symptom: an engine that has just come counts as slow, full and faulty.
+  Scenario: The state of an upstream ends with its start
+    # Guards against a restarted engine that counts as slow, full and faulty.
     When e-1 was down, refused, failed, was slow and had requests
     And e-1 starts again, empty
     Then nothing of that is known of e-1
 
   Scenario: An engine reports a newer start than its entry
-    # Symptom: requests are answered 421. Sequence: an engine crashes, starts
-    # again under its id, and holds nothing; its entry from before says that it
-    # holds its layers until the next heartbeat is read.
+    # Guards against requests that are answered 421: an engine crashes, restarts
+    # under its name and holds nothing; until its next heartbeat is read, its
+    # entry from before says that it holds its layers.
     When a probe of e-1 brings a report of a newer start
     Then the host that asked knows that e-1 holds nothing
 
@@ -111,15 +111,16 @@
     And a probe of e-1 brings a report of its former start
     Then every host knows that e-1 holds nothing
 
-  Scenario: News of a former start
-    # Symptom: an engine is believed to hold what it held before it crashed.
+  Scenario: A peer update on a former start
+    # Guards against an engine that counts as holding the layers from before its
+    # crash.
     When e-1 starts again, empty
-    And another host tells that the former start of e-1 is dead and holds "0-31"
+    And a peer update says that the former start of e-1 is dead and holds "0-31"
     Then every host uses e-1 and e-2 alone
     And every host knows that e-1 holds nothing
 
-  Scenario: Starts that are not told
-    # Older deployments: an upstream has a new id after a crash.
+  Scenario: An entry without the time of its start
+    # Older deployments write none: an upstream has a new name after a crash.
     When an entry "old" without born is added
     Then every host uses e-1, e-2 and old
 
--- a/tests/catalog/fuzz.feature
+++ b/tests/catalog/fuzz.feature
@@ -1,16 +1,16 @@
 @fuzz
-Feature: The list of upstreams, with entries from anyone
+Feature: Fuzzing of the list of upstreams and of restores of the store
 
   Scenario: Only good entries of newest starts are used
-    # Symptom: a good engine is not used, or one that does not exist is.
-    # Sequence: entries of any form among good ones, restarts under the same
-    # id, late entries. Cause: trust in whatever could be decoded.
+    # Guards against a good engine that is not used, and one that does not exist
+    # and is: entries of any form among good ones, restarts under the same name,
+    # and delayed entries. Trust in any decodable entry causes both.
     When the entries machine runs 120 histories of 40 steps
     Then the oracle found nothing
 
-  Scenario: Hosts that follow the store across copies of it
-    # Symptom: an upstream that left is given work again, or one that lives is
-    # never seen. Sequence: the store comes back from a copy some seconds old,
-    # and offsets are given out again. Cause: positions without the era.
+  Scenario: Hosts follow the store across restores
+    # Guards against requests to a removed upstream, and against a live one that
+    # is never seen: the store is restored from a copy that is some seconds old,
+    # and offsets are assigned again. Positions without the era cause both.
     When the copies machine runs 200 histories of 30 steps
     Then the oracle found nothing
--- a/tests/catalog/machine.py
+++ b/tests/catalog/machine.py
@@ -1,9 +1,9 @@
-"""Fuzzing of the list of upstreams with strange entries and restarts.
+"""Fuzzing of the list of upstreams with malformed entries and restarts.
 
-The oracle, in a few lines: the upstreams that may be used are those whose
-newest record is a good entry of their newest start, and that said nothing of
-leaving in that start. It holds for a host that reads every change, and for one
-that reads the whole list now and then; nothing raises.
+The oracle checks that the usable upstreams are those whose newest record is a
+good entry of their newest start, and that have not drained in that start. This
+holds for a host that reads every change and for one that reads the full list
+from time to time. Nothing may raise.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     max_leaves=6,
 )
 
-# What another writer may put in place of a field, never its right value.
+# Fields that another writer replaces, and values that are never right.
 FIELDS = st.sampled_from(
     ["service", "address", "zone", "state", "slots", "layer_count", "born"]
 )
@@ -40,7 +40,7 @@
 
 
 def _is_harmless(value: Any) -> bool:
-    """Tells whether a value may be right for some field."""
+    """Returns whether a value may be right for some field."""
     return (
         value is None
         or (isinstance(value, int | float) and not isinstance(value, bool))
@@ -50,12 +50,12 @@
 
 @attrs.define
 class Server:
-    """What the oracle knows of a server."""
+    """The oracle's state of a server."""
 
     # Unix ms of the newest start.
     born_ms: int = listing.BORN_MS
     is_draining: bool = False
-    # What the newest record under its name is.
+    # Whether its name has a record, and whether the newest one is good.
     is_listed: bool = False
     is_good: bool = False
 
@@ -82,13 +82,13 @@
 
     @stateful.rule(number=SERVER)
     def drain(self, number: int) -> None:
-        """A server says that it leaves."""
+        """A server starts to drain."""
         self.servers[number].is_draining = True
         self.beat(number)
 
     @stateful.rule(number=SERVER)
     def restart(self, number: int) -> None:
-        """A server starts again under its id."""
+        """A server restarts under its name."""
         server = self.servers[number]
         self.servers[number] = attrs.evolve(
             server, born_ms=server.born_ms + 1000, is_draining=False
@@ -97,13 +97,13 @@
 
     @stateful.rule(number=SERVER)
     def beat_late(self, number: int) -> None:
-        """An entry of a former start comes late, after a newer one."""
+        """An entry of a former start arrives after a newer one."""
         server = self.servers[number]
         former = attrs.evolve(server, born_ms=server.born_ms - 1000)
         if server.is_listed and server.is_good:
             self._write(number, former)
             self._read()
-            # Else a host that reads it first takes it for the newest.
+            # Otherwise a host that first reads now takes it for the newest.
             self.beat(number)
 
     @stateful.rule(number=SERVER)
@@ -137,13 +137,13 @@
 
     @stateful.rule(seconds=st.sampled_from([0.5, 5.0]))
     def pass_time(self, seconds: float) -> None:
-        """Time passes."""
+        """Advances the clock."""
         self.now_s += seconds
         self._read()
 
     @stateful.rule()
     def reconfigure(self) -> None:
-        """The same services are put in force again."""
+        """Puts the same services in force again."""
         for host in (self.changes, self.whole):
             host.broker.configure(fleets.make_config(), self.now_s)
 
--- a/tests/steps/catalog_steps.py
+++ b/tests/steps/catalog_steps.py
@@ -566,7 +566,7 @@
     )
 
 
-@when("it is poked {times:d} times within {seconds:g} s")
+@when("it is woken {times:d} times within {seconds:g} s")
 def step_poked(context: Any, times: int, seconds: float) -> None:
     context.feed.start()
     for _ in range(times):
--- a/tests/steps/copies_steps.py
+++ b/tests/steps/copies_steps.py
@@ -269,7 +269,7 @@
 ENDS = {"a": 1.0, "b": 1.0, "c": 1.0}
 
 
-@given('three savers of hosts, the first one of which wrote "{name}" of late')
+@given('three quarantine writers, the first of which recently wrote "{name}"')
 def step_savers(context: Any, name: str) -> None:
     context.savers = [Saver(seed) for seed in range(HOSTS)]
     first = context.savers[0]
--- a/tests/steps/entries_steps.py
+++ b/tests/steps/entries_steps.py
@@ -215,7 +215,7 @@
 
 
 @when(
-    "another host tells that the former start of e-1 is dead and holds"
+    "a peer update says that the former start of e-1 is dead and holds"
     ' "{layers}"'
 )
 def step_news(context: Any, layers: str) -> None:
