--- a/tests/catalog/copies.py
+++ b/tests/catalog/copies.py
@@ -178,7 +178,7 @@
         self.hosts[-1].take_from(self.hosts[0], self.now_s)
 
     @stateful.invariant()
-    def nothing_goes_back(self) -> None:
+    def check_monotonic(self) -> None:
         """Checks each host against its earlier state."""
         for host in self.hosts:
             roster = host.listed.roster
--- a/tests/catalog/machine.py
+++ b/tests/catalog/machine.py
@@ -148,7 +148,7 @@
             host.broker.configure(fleets.make_config(), self.now_s)
 
     @stateful.invariant()
-    def usable_are_the_good(self) -> None:
+    def check_usable(self) -> None:
         """Checks both hosts against the oracle."""
         self._read()
         wanted = {
