--- a/egretspur/catalog/feeds.py
+++ b/egretspur/catalog/feeds.py
@@ -28,11 +28,11 @@
 
 # Initial and maximum backoff after a failed call. Short, since the time bounds
 # apply again three seconds after a host is reconnected.
-FIRST_PAUSE_S: Final = 0.1
-LONGEST_PAUSE_S: Final = 1.0
+INITIAL_BACKOFF_S: Final = 0.1
+MAX_BACKOFF_S: Final = 1.0
 
 # Minimum time between the starts of two reads, however often a feed is woken.
-SHORTEST_S: Final = 0.4
+MIN_READ_INTERVAL_S: Final = 0.4
 
 
 @attrs.frozen
@@ -160,14 +160,14 @@
         self._sink = sink
         self._get_pace = get_pace
         # Monotonic time since which the store has not answered.
-        self._lost_s: float | None = None
+        self._outage_since_s: float | None = None
         self._stop = threading.Event()
-        self._poked = threading.Event()
+        self._woken = threading.Event()
         # A wake-up ends the wait between two reads, never the backoff after a
         # failed one: peer updates wake a feed several times a second, and a
         # host that the store refuses would call it as often.
-        self._sleep = sleep or self._rest
-        self._pause = sleep or self._stop.wait
+        self._sleep = sleep or self._wait
+        self._back_off = sleep or self._stop.wait
         self._rng = random.Random()
         self._thread = threading.Thread(
             target=self._run, name=f"feed-{name}", daemon=True
@@ -184,36 +184,38 @@
     def close(self) -> None:
         """Stops without interrupting a read in progress."""
         self._stop.set()
-        self._poked.set()
+        self._woken.set()
 
     def poke(self) -> None:
         """Wakes the thread to read: another host has newer state."""
-        self._poked.set()
+        self._woken.set()
 
-    def _rest(self, seconds: float) -> None:
-        if self._poked.wait(seconds):
-            self._poked.clear()
+    def _wait(self, seconds: float) -> None:
+        if self._woken.wait(seconds):
+            self._woken.clear()
 
     def _run(self) -> None:
         since: positions.Position | None = None
-        pause_s = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         while not self._stop.is_set():
             began_s = time.monotonic()
             res, since = self._read(since)
             if isinstance(res, Unavailable) or _get_failure(res):
-                self._note_lost(_get_failure(res), began_s)
+                self._record_outage(_get_failure(res), began_s)
                 # Jitter, so that not all hosts retry at the same moment.
-                self._pause(pause_s * self._rng.uniform(0.5, 1.0))
-                pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
+                self._back_off(backoff_s * self._rng.uniform(0.5, 1.0))
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                 continue
             if isinstance(res, Expired) or not res.is_handed:
-                self._note_answer()
-                pause_s = FIRST_PAUSE_S
+                self._record_answer()
+                backoff_s = INITIAL_BACKOFF_S
             period_s = self._get_pace().period_s
             rest_s = began_s + period_s - time.monotonic()
             if rest_s > 0:
                 self._sleep(rest_s)
-            early_s = began_s + min(period_s, SHORTEST_S) - time.monotonic()
+            early_s = (
+                began_s + min(period_s, MIN_READ_INTERVAL_S) - time.monotonic()
+            )
             if early_s > 0:
                 # Several hosts may wake the feed for the same change.
                 self._stop.wait(early_s)
@@ -229,23 +231,23 @@
         with guard.surviving(f"feed {self._name}") as failure:
             res = self.read_once(since, self._get_pace().wait_s)
             if not isinstance(res, Unavailable):
-                since = self.hand_on(res)
+                since = self.deliver(res)
             return res, since
         # Some of the changes may have been applied: read the full state next.
         return Unavailable(failure.reason), None
 
-    def _note_lost(self, reason: str, began_s: float) -> None:
-        if self._lost_s is None:
+    def _record_outage(self, reason: str, began_s: float) -> None:
+        if self._outage_since_s is None:
             decisions.record(decisions.StoreLost(self._name, reason))
-            self._lost_s = began_s
+            self._outage_since_s = began_s
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         """Records that the store itself answered."""
-        self._sink.note_contact(self._lost_s is not None)
-        if self._lost_s is not None:
-            away_s = time.monotonic() - self._lost_s
+        self._sink.note_contact(self._outage_since_s is not None)
+        if self._outage_since_s is not None:
+            away_s = time.monotonic() - self._outage_since_s
             decisions.record(decisions.StoreBack(self._name, away_s))
-        self._lost_s = None
+        self._outage_since_s = None
 
     def read_once(
         self, since: positions.Position | None, wait_s: float
@@ -255,7 +257,7 @@
             return self._source.read_newest()
         return self._source.read_changes(since, wait_s)
 
-    def hand_on(
+    def deliver(
         self, res: Whole[T] | Changes[T] | Expired
     ) -> positions.Position | None:
         """Passes a result to the sink.
--- a/egretspur/catalog/handover.py
+++ b/egretspur/catalog/handover.py
@@ -29,11 +29,11 @@
 T = TypeVar("T")
 
 # Hosts called for one read; each call may take a full time-out.
-HOSTS_ASKED: Final = 3
+MAX_HOSTS_CALLED: Final = 3
 
 # zlib level of snapshots. A configuration of 1,640 routes has some hundred
 # kilobytes, and a tenth of that compressed; hosts have links of 10 Mbit/s.
-PACK_LEVEL: Final = 1
+COMPRESSION_LEVEL: Final = 1
 
 # Maximum size of a decompressed snapshot in bytes: many times the largest
 # configuration, and a fraction of a small host's memory.
@@ -42,7 +42,7 @@
 # Tombstones kept for hosts that are behind; a host that is further behind gets
 # a full snapshot. Without a limit each start of an upstream would leave one for
 # good.
-DROPPED_KEPT: Final = 256
+MAX_TOMBSTONES: Final = 256
 
 
 @attrs.frozen
@@ -160,11 +160,11 @@
             self._records.pop(record.key, None)
             self._records[record.key] = record
             if not record.raw:
-                self._forget_oldest_drop()
+                self._evict_oldest_tombstone()
 
-    def _forget_oldest_drop(self) -> None:
+    def _evict_oldest_tombstone(self) -> None:
         dropped = [r for r in self._records.values() if not r.raw]
-        if len(dropped) > DROPPED_KEPT:
+        if len(dropped) > MAX_TOMBSTONES:
             oldest = dropped[0]
             del self._records[oldest.key]
             self._complete_from = max(self._complete_from, oldest.offset + 1)
@@ -269,7 +269,7 @@
             overruled,
         ]
     )
-    return zlib.compress(data, PACK_LEVEL)
+    return zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def unpack_snapshot(data: bytes, now_s: float) -> Snapshot | feeds.Unavailable:
@@ -367,27 +367,27 @@
         self,
         topic: Topic[T],
         list_hosts: ListHosts,
-        ask: AskHost,
-        is_asking_first: Callable[[], bool],
-        list_at_start: ListHosts = list,
+        fetch: AskHost,
+        is_peers_first: Callable[[], bool],
+        list_initial_hosts: ListHosts = list,
     ) -> None:
         """Makes a source.
 
         Args:
             topic: The topic in the store.
             list_hosts: Returns the hosts to call.
-            ask: Fetches a snapshot from one of them.
-            is_asking_first: Returns whether hosts are called before the store,
+            fetch: Fetches a snapshot from one of them.
+            is_peers_first: Returns whether hosts are called before the store,
                 or only when the store does not answer.
-            list_at_start: Returns the hosts to call before the first read of
-                the store, when no peer update has arrived yet.
+            list_initial_hosts: Returns the hosts to call before the first read
+                of the store, when no peer update has arrived yet.
         """
         self._topic = topic
         self._list_hosts = list_hosts
-        self._ask = ask
-        self._is_asking_first = is_asking_first
-        self._list_at_start = list_at_start
-        self._has_begun = False
+        self._fetch = fetch
+        self._is_peers_first = is_peers_first
+        self._list_initial_hosts = list_initial_hosts
+        self._has_read = False
 
     def read_newest(
         self,
@@ -399,39 +399,39 @@
         from the store, which takes a small host's link more than half a second,
         and a twentieth of that from another host.
         """
-        if not self._has_begun:
-            self._has_begun = True
-            found = self._ask_hosts(self._list_at_start(), None)
+        if not self._has_read:
+            self._has_read = True
+            found = self._fetch_from_hosts(self._list_initial_hosts(), None)
             if found is not None:
                 return found
         res = self._topic.read_newest()
         if isinstance(res, feeds.Whole):
             return res
-        return self._ask_instead(None, res)
+        return self._fall_back(None, res)
 
     def read_changes(
         self, since: positions.Position, wait_s: float
     ) -> feeds.Result[T]:
         """Returns the changes since a position."""
-        is_first = self._is_asking_first()
+        is_first = self._is_peers_first()
         hosts = self._list_hosts() if is_first else []
-        found = self._ask_hosts(hosts, since)
+        found = self._fetch_from_hosts(hosts, since)
         if found is not None:
             return found
         res = self._topic.read_changes(since, wait_s)
         if is_first or not isinstance(res, feeds.Unavailable):
             return res
-        return self._ask_instead(since, res)
+        return self._fall_back(since, res)
 
-    def _ask_instead(
+    def _fall_back(
         self, since: positions.Position | None, res: feeds.Unavailable
     ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
-        found = self._ask_hosts(self._list_hosts(), since)
+        found = self._fetch_from_hosts(self._list_hosts(), since)
         if found is None:
             return res
         return attrs.evolve(found, failure=res.reason)
 
-    def _ask_hosts(
+    def _fetch_from_hosts(
         self, hosts: list[str], since: positions.Position | None
     ) -> feeds.Whole[T] | feeds.Changes[T] | None:
         """Returns the state of the first host that has one to send.
@@ -439,8 +439,8 @@
         Returns:
             None if no host returned a usable snapshot.
         """
-        for host in hosts[:HOSTS_ASKED]:
-            data = self._ask(host, self._topic.name, since)
+        for host in hosts[:MAX_HOSTS_CALLED]:
+            data = self._fetch(host, self._topic.name, since)
             if data is None:
                 continue
             found = self._topic.read_snapshot(data)
