--- a/egretspur/catalog/quarantined.py
+++ b/egretspur/catalog/quarantined.py
@@ -26,18 +26,18 @@
 # How long the store may wait for a change in the reader's read; a change is
 # returned at once. With the second that a call may take, a dead connection is
 # detected within three, when the time bounds apply again to a reconnected host.
-WAIT_S: Final = 2.0
+READ_WAIT_S: Final = 2.0
 
 # Time between two reads of the other hosts, which receive changes in peer
 # updates.
-SPARE_PERIOD_S: Final = 60.0
+NON_READER_PERIOD_S: Final = 60.0
 
 # Time between two attempts to write while the store refuses.
-RETRY_S: Final = 1.0
+WRITE_RETRY_S: Final = 1.0
 
 # A restored copy of the store is some seconds old; writes of this last period
 # before the restore was detected may be lost.
-COPY_REACH_S: Final = 60.0
+RESTORE_WINDOW_S: Final = 60.0
 
 # Range of the random delay before a reader rewrites lost records of others.
 # The readers of all data centres do; those that read the record meanwhile skip
@@ -52,12 +52,12 @@
 def get_pace(is_reader: bool) -> feeds.Pace:
     """Returns the timing of the feed of quarantined requests."""
     if is_reader:
-        return feeds.Pace(WAIT_S, 0.0)
-    return feeds.Pace(0.0, SPARE_PERIOD_S)
+        return feeds.Pace(READ_WAIT_S, 0.0)
+    return feeds.Pace(0.0, NON_READER_PERIOD_S)
 
 
 @attrs.frozen
-class _Waiting:
+class _PendingWrite:
     change: quarantine.Change
     # Monotonic time at which to write it.
     due_s: float
@@ -74,7 +74,7 @@
         self, values: Mapping[str, quarantine.Ends | feeds.Unreadable]
     ) -> None:
         """Restores all quarantined requests."""
-        self._hand_on(tuple(values.items()))
+        self._restore(tuple(values.items()))
 
     def take_changes(
         self,
@@ -85,9 +85,9 @@
         """Applies changes; a malformed record is ignored."""
         for fingerprint, _ in values:
             self._saver.note_written(fingerprint)
-        self._hand_on(values)
+        self._restore(values)
 
-    def _hand_on(
+    def _restore(
         self,
         values: tuple[
             tuple[str, quarantine.Ends | feeds.Unreadable | None], ...
@@ -118,10 +118,10 @@
         self._write = write
         self._rng = rng
         self._lock = threading.Lock()
-        self._is_due = threading.Event()
+        self._wake = threading.Event()
         self._stop = threading.Event()
         # Pending changes by fingerprint; a newer one replaces an older one.
-        self._waiting: dict[str, _Waiting] = {}
+        self._pending: dict[str, _PendingWrite] = {}
         # Changes that this host wrote recently, and when.
         self._written: dict[str, tuple[quarantine.Change, float]] = {}
         self._thread = threading.Thread(
@@ -135,11 +135,11 @@
     def close(self) -> None:
         """Stops the thread; pending changes are not written."""
         self._stop.set()
-        self._is_due.set()
+        self._wake.set()
 
     def take(self, changes: Sequence[quarantine.Change]) -> None:
         """Queues changes to write at once."""
-        self._put(changes, 0.0)
+        self._queue(changes, 0.0)
 
     def note_copy(
         self,
@@ -161,49 +161,49 @@
             own = {
                 f: change
                 for f, (change, at_s) in self._written.items()
-                if now_s - at_s < COPY_REACH_S
+                if now_s - at_s < RESTORE_WINDOW_S
             }
-        self._put(list(own.values()), 0.0)
+        self._queue(list(own.values()), 0.0)
         if is_reader:
             lost = [
                 quarantine.Change(f, ends, is_own=False)
                 for f, ends in report.kept.items()
                 if f not in own and not isinstance(ends, feeds.Unreadable)
             ]
-            self._put(lost, self._rng.uniform(*REWRITE_S))
+            self._queue(lost, self._rng.uniform(*REWRITE_S))
 
     def note_written(self, fingerprint: str) -> None:
         """Cancels a delayed rewrite, since the store has the record."""
         now_s = time.monotonic()
         with self._lock:
-            waiting = self._waiting.get(fingerprint)
+            waiting = self._pending.get(fingerprint)
             if waiting is not None and waiting.due_s > now_s:
-                del self._waiting[fingerprint]
+                del self._pending[fingerprint]
 
-    def _put(
+    def _queue(
         self, changes: Sequence[quarantine.Change], delay_s: float
     ) -> None:
         due_s = time.monotonic() + delay_s
         with self._lock:
             for change in changes:
-                self._waiting[change.fingerprint] = _Waiting(change, due_s)
-        self._is_due.set()
+                self._pending[change.fingerprint] = _PendingWrite(change, due_s)
+        self._wake.set()
 
     def _run(self) -> None:
         while True:
-            self._is_due.wait(self._find_rest())
+            self._wake.wait(self._get_delay())
             if self._stop.is_set():
                 return
-            self._is_due.clear()
+            self._wake.clear()
             with guard.surviving("quarantine"):
                 if not self.write_waiting():
-                    self._stop.wait(RETRY_S)
-                    self._is_due.set()
+                    self._stop.wait(WRITE_RETRY_S)
+                    self._wake.set()
 
-    def _find_rest(self) -> float | None:
+    def _get_delay(self) -> float | None:
         """Returns the seconds until the next write; None if none pends."""
         with self._lock:
-            due_s = min((w.due_s for w in self._waiting.values()), default=None)
+            due_s = min((w.due_s for w in self._pending.values()), default=None)
         return None if due_s is None else max(0.0, due_s - time.monotonic())
 
     def write_waiting(self) -> bool:
@@ -211,7 +211,7 @@
         now_s = time.monotonic()
         with self._lock:
             waiting = [
-                w.change for w in self._waiting.values() if now_s >= w.due_s
+                w.change for w in self._pending.values() if now_s >= w.due_s
             ]
         is_done = True
         for change in waiting:
@@ -223,18 +223,18 @@
             )
             is_done = is_done and not problem
             if not problem:
-                self._forget(change, now_s)
+                self._remove_written(change, now_s)
         return is_done
 
-    def _forget(self, change: quarantine.Change, now_s: float) -> None:
+    def _remove_written(self, change: quarantine.Change, now_s: float) -> None:
         """Removes a written change, unless a newer one replaced it."""
         with self._lock:
             self._written = {
                 f: (c, at_s)
                 for f, (c, at_s) in self._written.items()
-                if now_s - at_s < COPY_REACH_S
+                if now_s - at_s < RESTORE_WINDOW_S
             }
             self._written[change.fingerprint] = (change, now_s)
-            waiting = self._waiting.get(change.fingerprint)
+            waiting = self._pending.get(change.fingerprint)
             if waiting is not None and waiting.change is change:
-                del self._waiting[change.fingerprint]
+                del self._pending[change.fingerprint]
--- a/egretspur/catalog/reading.py
+++ b/egretspur/catalog/reading.py
@@ -25,7 +25,7 @@
 
 # Time between reads of a host that is not the reader, unless a peer update
 # shows newer state.
-SPARE_PERIOD_S: Final = 12.0
+NON_READER_PERIOD_S: Final = 12.0
 
 # Maximum age of a list that makes other hosts read, and whose host counts as a
 # reader. Even if one datagram is lost, all hosts read within two seconds of a
@@ -51,12 +51,12 @@
     """Returns the timing of the feed of the configuration."""
     if is_reader:
         return feeds.Pace(CONFIG_WAIT_S, 0.0)
-    return feeds.Pace(0.0, SPARE_PERIOD_S)
+    return feeds.Pace(0.0, NON_READER_PERIOD_S)
 
 
 def get_list_pace(is_reader: bool) -> feeds.Pace:
     """Returns the timing of the feed of the list of upstreams."""
-    return feeds.Pace(0.0, LIST_PERIOD_S if is_reader else SPARE_PERIOD_S)
+    return feeds.Pace(0.0, LIST_PERIOD_S if is_reader else NON_READER_PERIOD_S)
 
 
 def is_config_due(mine: Known, other: Known) -> bool:
