--- a/egretspur/catalog/tables.py
+++ b/egretspur/catalog/tables.py
@@ -45,9 +45,9 @@
 
     # Returns whether a known value supersedes that of the copy; called with
     # both in this order.
-    goes_before: Callable[[T, T], bool]
+    supersedes: Callable[[T, T], bool]
     # How long a key that the copy lacks is kept, in seconds.
-    kept_s: float = math.inf
+    keep_missing_s: float = math.inf
     # Whether known values supersede later records as well as those of a copy.
     is_monotonic: bool = False
 
@@ -93,7 +93,7 @@
         self._newest = handover.Newest(clock)
         self._values: dict[str, Value[T]] = {}
         # Overrides of the copy's records, by key.
-        self._overruled: dict[str, handover.Overruled] = {}
+        self._overrides: dict[str, handover.Overruled] = {}
         # Ignored records of keys that have no known value.
         self._withheld: dict[str, Read[T]] = {}
         # Called after the first read of the topic from a restored store.
@@ -132,24 +132,24 @@
         fresh = {r.record.key: r for r in reads}
         before_copy = before if before and before.era != at.era else None
         if before_copy is not None:
-            self._overruled = self._find_outlasting(fresh, told)
-            self._overruled.update(
+            self._overrides = self._find_surviving(fresh, told)
+            self._overrides.update(
                 self._find_removed(fresh, before_copy.offset, told)
             )
         else:
-            self._drop_settled(fresh)
+            self._drop_ended_overrides(fresh)
         told = told or handover.NOTHING_TOLD
-        self._overruled.update(told.overruled)
+        self._overrides.update(told.overruled)
         known = [
             read
-            for key in {**self._overruled, **fresh}
-            if (read := self._choose(key, fresh, told)) is not None
+            for key in {**self._overrides, **fresh}
+            if (read := self._resolve(key, fresh, told)) is not None
         ]
-        self._set(known, at, told.dropped)
+        self._replace_all(known, at, told.dropped)
         self._withheld = {
             key: read
             for key, read in fresh.items()
-            if key in self._overruled and key not in self._values
+            if key in self._overrides and key not in self._values
         }
         if before_copy is not None:
             self._report(before_copy.era, at.era, len(fresh))
@@ -170,10 +170,10 @@
         changes: list[tuple[str, Value[T] | None]] = []
         for read in reads:
             record, value = read.record, read.value
-            if self._policy.is_monotonic and self._outdoes(read):
-                self._overruled[record.key] = handover.Overruled(record.offset)
+            if self._policy.is_monotonic and self._is_superseded(read):
+                self._overrides[record.key] = handover.Overruled(record.offset)
                 continue
-            is_settled = self._overruled.pop(record.key, None) is not None
+            is_settled = self._overrides.pop(record.key, None) is not None
             self._withheld.pop(record.key, None)
             if value is None:
                 self._values.pop(record.key, None)
@@ -186,34 +186,34 @@
                 self._values[record.key] = value
             changes.append((record.key, value))
         changes += self._expire(at)
-        self._newest.move_on(at, self._overruled)
+        self._newest.move_on(at, self._overrides)
         return tuple(changes)
 
-    def _outdoes(self, read: Read[T]) -> bool:
+    def _is_superseded(self, read: Read[T]) -> bool:
         """Returns whether the known value of its key supersedes a record."""
         known = self._values.get(read.record.key)
-        return known is not None and self._goes_before(known, read.value)
+        return known is not None and self._supersedes(known, read.value)
 
-    def _drop_settled(self, fresh: Mapping[str, Read[T]]) -> None:
+    def _drop_ended_overrides(self, fresh: Mapping[str, Read[T]]) -> None:
         """Removes overrides of keys of which a later record was read."""
-        for key, overruled in list(self._overruled.items()):
+        for key, overruled in list(self._overrides.items()):
             read = fresh.get(key)
             if read is not None and not overruled.covers(read.record):
-                del self._overruled[key]
+                del self._overrides[key]
 
-    def _find_outlasting(
+    def _find_surviving(
         self, fresh: Mapping[str, Read[T]], told: handover.Told | None
     ) -> dict[str, handover.Overruled]:
         """Returns overrides for known values that survive a restore."""
         found = {}
-        kept_until_s = self._clock() + self._policy.kept_s
+        kept_until_s = self._clock() + self._policy.keep_missing_s
         dropped = told.dropped if told else ()
         for key, value in self._values.items():
             read = fresh.get(key)
             if read is None:
                 if key not in dropped:
                     found[key] = handover.Overruled(None, kept_until_s)
-            elif self._goes_before(value, read.value):
+            elif self._supersedes(value, read.value):
                 found[key] = handover.Overruled(read.record.offset)
         return found
 
@@ -240,14 +240,14 @@
             and read.record.offset < read_up_to
         }
 
-    def _goes_before(self, known: Value[T], copied: Value[T] | None) -> bool:
+    def _supersedes(self, known: Value[T], copied: Value[T] | None) -> bool:
         if isinstance(known, feeds.Unreadable):
             return False
         if copied is None or isinstance(copied, feeds.Unreadable):
             return True
-        return known != copied and self._policy.goes_before(known, copied)
+        return known != copied and self._policy.supersedes(known, copied)
 
-    def _choose(
+    def _resolve(
         self, key: str, fresh: Mapping[str, Read[T]], told: handover.Told
     ) -> Read[T] | None:
         """Returns the record of a key after a merge; None for no value.
@@ -258,7 +258,7 @@
             told: Sent by the other host beside the records.
         """
         theirs = fresh.get(key)
-        if key not in self._overruled:
+        if key not in self._overrides:
             return theirs
         mine = self._get_known(key)
         if key not in told.overruled:
@@ -268,7 +268,7 @@
             return None
         if mine is None or theirs is None:
             return theirs
-        if mine.value is not None and self._goes_before(
+        if mine.value is not None and self._supersedes(
             mine.value, theirs.value
         ):
             return mine
@@ -282,7 +282,7 @@
         # Its offset is of an earlier era, so it sorts before all records.
         return Read(attrs.evolve(record, offset=0), value)
 
-    def _set(
+    def _replace_all(
         self,
         known: Sequence[Read[T]],
         at: positions.Position,
@@ -295,14 +295,14 @@
         }
         gone = {*self._newest.list_dropped(), *dropped} - set(self._values)
         self._newest.replace(
-            [r.record for r in ordered], at, gone, self._overruled
+            [r.record for r in ordered], at, gone, self._overrides
         )
 
     def _report(self, before: int, era: int, read: int) -> None:
         kept = {
-            k: self._values[k] for k in self._overruled if k in self._values
+            k: self._values[k] for k in self._overrides if k in self._values
         }
-        withheld = tuple(k for k in self._overruled if k not in kept)
+        withheld = tuple(k for k in self._overrides if k not in kept)
         self.note_copy(
             CopyReport(self._name, before, era, read, kept, withheld)
         )
@@ -310,10 +310,10 @@
     def _expire(self, at: positions.Position) -> Changed[T]:
         """Ends overrides whose time is over; returns the changes."""
         now_s = self._clock()
-        late = [k for k, o in self._overruled.items() if now_s >= o.until_s]
+        late = [k for k, o in self._overrides.items() if now_s >= o.until_s]
         changes: list[tuple[str, Value[T] | None]] = []
         for key in late:
-            del self._overruled[key]
+            del self._overrides[key]
             read = self._withheld.pop(key, None)
             if read is None or read.value is None:
                 self._values.pop(key, None)
