--- a/egretspur/catalog/upstreams.py
+++ b/egretspur/catalog/upstreams.py
@@ -21,24 +21,24 @@
 
 # How long layers that an engine reported override its entry, which is written
 # once a heartbeat and read once a second.
-LEARNED_S: Final = 4.0
+REPORTED_LAYERS_S: Final = 4.0
 
 # Grace period for missing entries after an outage of the store. Entries that
 # lapsed during the outage are written again within it if the upstream lives.
-RETURN_S: Final = 2.0
+OUTAGE_GRACE_S: Final = 2.0
 
 # An upstream whose newest record can't be read gets no requests, and is removed
 # after this time: three heartbeats, as for a silent one. If it were removed at
 # once, other engines would load its layers, for a record that its own next
 # heartbeat replaces.
-UNREADABLE_S: Final = 4.0
+UNREADABLE_GRACE_S: Final = 4.0
 
 # Separates the server's name from the time of its start in a start's id.
 START_MARK: Final = "@"
 
 # Servers whose newest start is remembered, several times those of a large site.
 # An entry of an older start may arrive after the newer one was removed.
-STARTS_KEPT: Final = 8192
+MAX_STARTS: Final = 8192
 
 
 @attrs.frozen
@@ -167,7 +167,7 @@
 
 def note_return(roster: Roster, now_s: float) -> None:
     """Starts the grace period: the store answers again after an outage."""
-    roster.grace_until_s = now_s + RETURN_S
+    roster.grace_until_s = now_s + OUTAGE_GRACE_S
 
 
 def configure(
@@ -187,10 +187,10 @@
             winners[entry.address] = entry
     ids = {e.id for e in winners.values()}
     for upstream_id in set(roster.entries) - ids - roster.unreadable:
-        _forget(roster, upstream_id)
+        _remove(roster, upstream_id)
     for entry in winners.values():
         if entry.id not in roster.entries or entry.id in roster.unreadable:
-            _list(roster, entry, now_s)
+            _update_entry(roster, entry, now_s)
 
 
 def outlasts_copy(known: Upstream, copied: Upstream) -> bool:
@@ -239,16 +239,16 @@
     if not _check_fit(roster, entry):
         _suspend(roster, entry.name, now_s)
         return
-    _note_start(roster, entry)
+    _record_start(roster, entry)
     known = roster.by_name.get(entry.name)
     if known is not None and known != entry.id:
-        _forget(roster, known)
+        _remove(roster, known)
     rival = roster.by_address.get(entry.address)
     if rival is not None and rival != entry.id:
         if _is_older(entry, roster.entries[rival]):
             return
-        _forget(roster, rival)
-    _list(roster, entry, now_s)
+        _remove(roster, rival)
+    _update_entry(roster, entry, now_s)
 
 
 def _check_fit(roster: Roster, entry: Upstream) -> bool:
@@ -284,17 +284,17 @@
     return entry.born_ms is None or entry.born_ms < rival.born_ms
 
 
-def _note_start(roster: Roster, entry: Upstream) -> None:
+def _record_start(roster: Roster, entry: Upstream) -> None:
     if entry.born_ms is None:
         return
     # Reinserted as the newest; the oldest is evicted.
     roster.starts.pop(entry.name, None)
     roster.starts[entry.name] = entry.born_ms
-    if len(roster.starts) > STARTS_KEPT:
+    if len(roster.starts) > MAX_STARTS:
         del roster.starts[next(iter(roster.starts))]
 
 
-def _list(roster: Roster, entry: Upstream, now_s: float) -> None:
+def _update_entry(roster: Roster, entry: Upstream, now_s: float) -> None:
     """Adds or updates a valid entry, with reported layers and draining."""
     roster.by_address[entry.address] = entry.id
     roster.by_name[entry.name] = entry.id
@@ -324,7 +324,7 @@
     if entry is None:
         return
     roster.listed.setdefault(upstream_id, entry.layers)
-    roster.learned[upstream_id] = (layers, now_s + LEARNED_S)
+    roster.learned[upstream_id] = (layers, now_s + REPORTED_LAYERS_S)
     if entry.layers != layers:
         roster.entries[upstream_id] = attrs.evolve(entry, layers=layers)
         roster.changes += 1
@@ -376,7 +376,7 @@
     if now_s < roster.grace_until_s:
         roster.missing.setdefault(upstream_id, roster.grace_until_s)
         return
-    _forget(roster, upstream_id)
+    _remove(roster, upstream_id)
 
 
 def _suspend(roster: Roster, name: str, now_s: float) -> None:
@@ -385,7 +385,7 @@
     if upstream_id is None:
         return
     roster.unreadable.add(upstream_id)
-    roster.missing.setdefault(upstream_id, now_s + UNREADABLE_S)
+    roster.missing.setdefault(upstream_id, now_s + UNREADABLE_GRACE_S)
 
 
 def change(
@@ -428,7 +428,7 @@
     """
     late = [i for i, due_s in roster.missing.items() if now_s >= due_s]
     for upstream_id in late:
-        _forget(roster, upstream_id)
+        _remove(roster, upstream_id)
     old = [i for i, (_, until_s) in roster.learned.items() if now_s >= until_s]
     for upstream_id in old:
         del roster.learned[upstream_id]
@@ -439,7 +439,7 @@
     return bool(late or old)
 
 
-def _forget(roster: Roster, upstream_id: str) -> None:
+def _remove(roster: Roster, upstream_id: str) -> None:
     entry = roster.entries.pop(upstream_id, None)
     if entry is not None:
         roster.changes += 1
