--- a/egretspur/catalog/handover.py
+++ b/egretspur/catalog/handover.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class Overruled:
+class Override:
     """Ignores the record that a restored store has of a key.
 
     The state known before the restore is used instead.
@@ -68,21 +68,21 @@
     # Monotonic time at which the override ends.
     until_s: float = math.inf
 
-    def covers(self, record: Record) -> bool:
+    def ignores(self, record: Record) -> bool:
         """Returns whether a record is ignored."""
         return self.offset is not None and record.offset <= self.offset
 
 
 @attrs.frozen
-class Told:
+class MergeInfo:
     """What a full snapshot contains beside the newest records."""
 
     # Recently removed keys.
-    dropped: tuple[str, ...] = ()
-    overruled: Mapping[str, Overruled] = attrs.Factory(dict)
+    removed: tuple[str, ...] = ()
+    overrides: Mapping[str, Override] = attrs.Factory(dict)
 
 
-NOTHING_TOLD: Final = Told()
+NO_MERGE_INFO: Final = MergeInfo()
 
 
 @attrs.frozen
@@ -94,8 +94,8 @@
     # Position from which to read the store.
     next: positions.Position
     # True for all keys, False for the changes since the requested position.
-    is_whole: bool
-    told: Told = NOTHING_TOLD
+    is_full: bool
+    merge_info: MergeInfo = NO_MERGE_INFO
 
 
 class Newest:
@@ -113,7 +113,7 @@
         # All tombstones from this offset on are kept.
         self._complete_from = 0
         self.position: positions.Position | None = None
-        self._overruled: Mapping[str, Overruled] = {}
+        self._overruled: Mapping[str, Override] = {}
         # Snapshots packed since the last change, by requested position: after
         # a change many hosts request the same one.
         self._packed: dict[positions.Position | None, bytes] = {}
@@ -134,7 +134,7 @@
         records: Iterable[Record],
         position: positions.Position,
         dropped: Collection[str] = (),
-        overruled: Mapping[str, Overruled] | None = None,
+        overruled: Mapping[str, Override] | None = None,
     ) -> None:
         """Replaces all records by those of a full read.
 
@@ -172,7 +172,7 @@
     def move_on(
         self,
         position: positions.Position,
-        overruled: Mapping[str, Overruled] | None = None,
+        overruled: Mapping[str, Override] | None = None,
     ) -> None:
         """Sets the position if it is newer, and the overrides if given."""
         with self._lock:
@@ -234,7 +234,7 @@
                 return Snapshot(tuple(found), at, False)
             dropped = tuple(k for k, r in self._records.items() if not r.raw)
             return Snapshot(
-                tuple(found), at, True, Told(dropped, self._overruled)
+                tuple(found), at, True, MergeInfo(dropped, self._overruled)
             )
 
 
@@ -257,15 +257,15 @@
     ]
     overruled = [
         [key, o.offset, None if math.isinf(o.until_s) else o.until_s - now_s]
-        for key, o in snapshot.told.overruled.items()
+        for key, o in snapshot.merge_info.overrides.items()
     ]
     at = snapshot.next
     data = orjson.dumps(
         [
             [at.era, at.offset],
-            snapshot.is_whole,
+            snapshot.is_full,
             rows,
-            snapshot.told.dropped,
+            snapshot.merge_info.removed,
             overruled,
         ]
     )
@@ -306,7 +306,7 @@
     position = positions.Position(
         checks.check_count(era, "era"), checks.check_count(end, "next")
     )
-    told = Told(
+    told = MergeInfo(
         tuple(
             checks.check_string(k, "dropped")
             for k in checks.check_list(dropped, "dropped")
@@ -321,14 +321,14 @@
     return Snapshot(records, position, bool(is_whole), told)
 
 
-def _read_overruled(offset: Any, left_s: Any, now_s: float) -> Overruled:
+def _read_overruled(offset: Any, left_s: Any, now_s: float) -> Override:
     if offset is not None:
         checks.check_count(offset, "offset")
     if left_s is None:
-        return Overruled(offset)
+        return Override(offset)
     # The override may have ended in transit.
     left_s = checks.check_number(max(0.0, left_s), "left")
-    return Overruled(offset, now_s + left_s)
+    return Override(offset, now_s + left_s)
 
 
 def _check_rows(value: Any) -> Iterable[list[Any]]:
--- a/egretspur/catalog/tables.py
+++ b/egretspur/catalog/tables.py
@@ -93,7 +93,7 @@
         self._newest = handover.Newest(clock)
         self._values: dict[str, Value[T]] = {}
         # Overrides of the copy's records, by key.
-        self._overrides: dict[str, handover.Overruled] = {}
+        self._overrides: dict[str, handover.Override] = {}
         # Ignored records of keys that have no known value.
         self._withheld: dict[str, Read[T]] = {}
         # Called after the first read of the topic from a restored store.
@@ -115,14 +115,14 @@
         self,
         reads: Sequence[Read[T]],
         at: positions.Position,
-        told: handover.Told | None = None,
+        merge_info: handover.MergeInfo | None = None,
     ) -> dict[str, Value[T]]:
         """Merges a full read of the topic.
 
         Args:
             reads: The newest record of each key, oldest first.
             at: Position from which to read changes.
-            told: Sent by the other host beside the records; None if they were
+            merge_info: Sent by the other host beside the records; None if they were
                 read from the store.
 
         Returns:
@@ -132,20 +132,20 @@
         fresh = {r.record.key: r for r in reads}
         before_copy = before if before and before.era != at.era else None
         if before_copy is not None:
-            self._overrides = self._find_surviving(fresh, told)
+            self._overrides = self._find_surviving(fresh, merge_info)
             self._overrides.update(
-                self._find_removed(fresh, before_copy.offset, told)
+                self._find_removed(fresh, before_copy.offset, merge_info)
             )
         else:
             self._drop_ended_overrides(fresh)
-        told = told or handover.NOTHING_TOLD
-        self._overrides.update(told.overruled)
+        merge_info = merge_info or handover.NO_MERGE_INFO
+        self._overrides.update(merge_info.overrides)
         known = [
             read
             for key in {**self._overrides, **fresh}
-            if (read := self._resolve(key, fresh, told)) is not None
+            if (read := self._resolve(key, fresh, merge_info)) is not None
         ]
-        self._replace_all(known, at, told.dropped)
+        self._replace_all(known, at, merge_info.removed)
         self._withheld = {
             key: read
             for key, read in fresh.items()
@@ -171,7 +171,7 @@
         for read in reads:
             record, value = read.record, read.value
             if self._policy.is_monotonic and self._is_superseded(read):
-                self._overrides[record.key] = handover.Overruled(record.offset)
+                self._overrides[record.key] = handover.Override(record.offset)
                 continue
             is_settled = self._overrides.pop(record.key, None) is not None
             self._withheld.pop(record.key, None)
@@ -198,31 +198,33 @@
         """Removes overrides of keys of which a later record was read."""
         for key, overruled in list(self._overrides.items()):
             read = fresh.get(key)
-            if read is not None and not overruled.covers(read.record):
+            if read is not None and not overruled.ignores(read.record):
                 del self._overrides[key]
 
     def _find_surviving(
-        self, fresh: Mapping[str, Read[T]], told: handover.Told | None
-    ) -> dict[str, handover.Overruled]:
+        self,
+        fresh: Mapping[str, Read[T]],
+        merge_info: handover.MergeInfo | None,
+    ) -> dict[str, handover.Override]:
         """Returns overrides for known values that survive a restore."""
         found = {}
         kept_until_s = self._clock() + self._policy.keep_missing_s
-        dropped = told.dropped if told else ()
+        dropped = merge_info.removed if merge_info else ()
         for key, value in self._values.items():
             read = fresh.get(key)
             if read is None:
                 if key not in dropped:
-                    found[key] = handover.Overruled(None, kept_until_s)
+                    found[key] = handover.Override(None, kept_until_s)
             elif self._supersedes(value, read.value):
-                found[key] = handover.Overruled(read.record.offset)
+                found[key] = handover.Override(read.record.offset)
         return found
 
     def _find_removed(
         self,
         fresh: Mapping[str, Read[T]],
         read_up_to: int,
-        told: handover.Told | None,
-    ) -> dict[str, handover.Overruled]:
+        merge_info: handover.MergeInfo | None,
+    ) -> dict[str, handover.Override]:
         """Returns overrides for records of the copy that were removed later.
 
         This host knows the effect of all records before the offset up to which
@@ -230,10 +232,10 @@
         key, was removed later, or is new and soon rewritten. Values that
         another host keeps despite the copy have no such offset.
         """
-        kept = told.overruled if told else {}
+        kept = merge_info.overrides if merge_info else {}
         until_s = self._clock() + WITHHELD_S
         return {
-            key: handover.Overruled(read.record.offset, until_s)
+            key: handover.Override(read.record.offset, until_s)
             for key, read in fresh.items()
             if key not in self._values
             and key not in kept
@@ -248,20 +250,23 @@
         return known != copied and self._policy.supersedes(known, copied)
 
     def _resolve(
-        self, key: str, fresh: Mapping[str, Read[T]], told: handover.Told
+        self,
+        key: str,
+        fresh: Mapping[str, Read[T]],
+        merge_info: handover.MergeInfo,
     ) -> Read[T] | None:
         """Returns the record of a key after a merge; None for no value.
 
         Args:
             key: The key.
             fresh: The records that were read, by key.
-            told: Sent by the other host beside the records.
+            merge_info: Sent by the other host beside the records.
         """
         theirs = fresh.get(key)
         if key not in self._overrides:
             return theirs
         mine = self._get_known(key)
-        if key not in told.overruled:
+        if key not in merge_info.overrides:
             return mine
         # Both hosts override the copy.
         if mine is None and key in self._newest.list_dropped():
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -235,8 +235,8 @@
             standing = positions.compare_eras(mine.era, found.next.era)
             if standing is positions.Standing.OLDER:
                 return feeds.Unavailable("snapshot of before the store's copy")
-        if found.is_whole:
-            return self._take_whole(found.records, found.next, found.told)
+        if found.is_full:
+            return self._take_whole(found.records, found.next, found.merge_info)
         changes = self.table.change(self._read(found.records), found.next)
         return feeds.Changes(changes, found.next, is_handed=True)
 
@@ -244,7 +244,7 @@
         self,
         records: Sequence[handover.Record],
         at: positions.Position,
-        told: handover.Told | None = None,
+        told: handover.MergeInfo | None = None,
     ) -> feeds.Whole[T]:
         """Keeps and decodes the newest records, in the order they came.
 
--- a/tests/steps/catalog_steps.py
+++ b/tests/steps/catalog_steps.py
@@ -326,14 +326,14 @@
 @then('a host that has read up to {offset:d} is handed all of "{keys}"')
 def step_handed_all(context: Any, offset: int, keys: str) -> None:
     found = hand_over(context, offset)
-    assert found.is_whole and found.next == at(context.end), found
+    assert found.is_full and found.next == at(context.end), found
     assert [r.key for r in found.records] == keys.split(", "), found
 
 
 @then('a host that has read up to {offset:d} is handed changes "{keys}"')
 def step_handed_changes(context: Any, offset: int, keys: str) -> None:
     found = hand_over(context, offset)
-    assert not found.is_whole and found.next == at(13), found
+    assert not found.is_full and found.next == at(13), found
     named = [r.key if r.raw else f"-{r.key}" for r in found.records]
     assert ", ".join(named) == keys, found
 
