--- a/egretspur/catalog/handover.py
+++ b/egretspur/catalog/handover.py
@@ -37,7 +37,7 @@
 
 # Maximum size of a decompressed snapshot in bytes: many times the largest
 # configuration, and a fraction of a small host's memory.
-MOST_UNPACKED: Final = 32 * 2**20
+MAX_UNPACKED_BYTES: Final = 32 * 2**20
 
 # Tombstones kept for hosts that are behind; a host that is further behind gets
 # a full snapshot. Without a limit each start of an upstream would leave one for
@@ -98,7 +98,7 @@
     merge_info: MergeInfo = NO_MERGE_INFO
 
 
-class Newest:
+class NewestRecords:
     """The newest record of each key; thread-safe.
 
     The caller leaves out records that repeat the value before: of a hundred
@@ -113,7 +113,7 @@
         # All tombstones from this offset on are kept.
         self._complete_from = 0
         self.position: positions.Position | None = None
-        self._overruled: Mapping[str, Override] = {}
+        self._overrides: Mapping[str, Override] = {}
         # Snapshots packed since the last change, by requested position: after
         # a change many hosts request the same one.
         self._packed: dict[positions.Position | None, bytes] = {}
@@ -124,7 +124,7 @@
             record = self._records.get(key)
         return record if record is not None and record.raw else None
 
-    def list_dropped(self) -> tuple[str, ...]:
+    def list_removed(self) -> tuple[str, ...]:
         """Returns the recently removed keys."""
         with self._lock:
             return tuple(k for k, r in self._records.items() if not r.raw)
@@ -133,23 +133,23 @@
         self,
         records: Iterable[Record],
         position: positions.Position,
-        dropped: Collection[str] = (),
-        overruled: Mapping[str, Override] | None = None,
+        removed: Collection[str] = (),
+        overrides: Mapping[str, Override] | None = None,
     ) -> None:
         """Replaces all records by those of a full read.
 
         Args:
             records: The newest record of each key.
             position: Position up to which they were read.
-            dropped: Keys known to be removed.
-            overruled: Overrides by key.
+            removed: Keys known to be removed.
+            overrides: Overrides by key.
         """
         with self._lock:
-            self._records = {k: Record(0, k, b"") for k in dropped}
+            self._records = {k: Record(0, k, b"") for k in removed}
             self._records.update((r.key, r) for r in records)
             self._complete_from = position.offset
             self.position = position
-            self._overruled = dict(overruled or {})
+            self._overrides = dict(overrides or {})
             self._packed.clear()
 
     def put(self, record: Record) -> None:
@@ -169,15 +169,15 @@
             del self._records[oldest.key]
             self._complete_from = max(self._complete_from, oldest.offset + 1)
 
-    def move_on(
+    def advance(
         self,
         position: positions.Position,
-        overruled: Mapping[str, Override] | None = None,
+        overrides: Mapping[str, Override] | None = None,
     ) -> None:
         """Sets the position if it is newer, and the overrides if given."""
         with self._lock:
-            if overruled is not None and overruled != self._overruled:
-                self._overruled = dict(overruled)
+            if overrides is not None and overrides != self._overrides:
+                self._overrides = dict(overrides)
                 self._packed.clear()
             known = self.position
             if known is None or position.offset > known.offset:
@@ -197,7 +197,7 @@
         with self._lock:
             # Not cached if the topic changed meanwhile, nor with overrides,
             # whose remaining time is part of the data.
-            if found.next == self.position and not self._overruled:
+            if found.next == self.position and not self._overrides:
                 self._packed[since] = data
         return data
 
@@ -222,7 +222,7 @@
                 since is None
                 or since.era != at.era
                 or since.offset < self._complete_from
-                or bool(self._overruled)
+                or bool(self._overrides)
             )
             found = [
                 r
@@ -234,7 +234,7 @@
                 return Snapshot(tuple(found), at, False)
             dropped = tuple(k for k, r in self._records.items() if not r.raw)
             return Snapshot(
-                tuple(found), at, True, MergeInfo(dropped, self._overruled)
+                tuple(found), at, True, MergeInfo(dropped, self._overrides)
             )
 
 
@@ -281,7 +281,7 @@
     """
     try:
         decompressor = zlib.decompressobj()
-        raw = decompressor.decompress(data, MOST_UNPACKED)
+        raw = decompressor.decompress(data, MAX_UNPACKED_BYTES)
         if not decompressor.eof:
             return feeds.Unavailable("snapshot truncated or too large")
         return _read_snapshot(codec.load_json(raw), now_s)
--- a/egretspur/catalog/tables.py
+++ b/egretspur/catalog/tables.py
@@ -90,7 +90,7 @@
         self._name = name
         self._policy = policy
         self._clock = clock
-        self._newest = handover.Newest(clock)
+        self._newest = handover.NewestRecords(clock)
         self._values: dict[str, Value[T]] = {}
         # Overrides of the copy's records, by key.
         self._overrides: dict[str, handover.Override] = {}
@@ -186,7 +186,7 @@
                 self._values[record.key] = value
             changes.append((record.key, value))
         changes += self._expire(at)
-        self._newest.move_on(at, self._overrides)
+        self._newest.advance(at, self._overrides)
         return tuple(changes)
 
     def _is_superseded(self, read: Read[T]) -> bool:
@@ -269,7 +269,7 @@
         if key not in merge_info.overrides:
             return mine
         # Both hosts override the copy.
-        if mine is None and key in self._newest.list_dropped():
+        if mine is None and key in self._newest.list_removed():
             return None
         if mine is None or theirs is None:
             return theirs
@@ -298,7 +298,7 @@
         self._values = {
             r.record.key: r.value for r in ordered if r.value is not None
         }
-        gone = {*self._newest.list_dropped(), *dropped} - set(self._values)
+        gone = {*self._newest.list_removed(), *dropped} - set(self._values)
         self._newest.replace(
             [r.record for r in ordered], at, gone, self._overrides
         )
--- a/tests/steps/catalog_steps.py
+++ b/tests/steps/catalog_steps.py
@@ -289,7 +289,7 @@
 
 @given('a topic that was read whole up to offset {end:d} with keys "{keys}"')
 def step_newest(context: Any, end: int, keys: str) -> None:
-    context.newest = handover.Newest()
+    context.newest = handover.NewestRecords()
     records = [
         handover.Record(i, key, b"1") for i, key in enumerate(keys.split(", "))
     ]
@@ -302,7 +302,7 @@
     context.newest.put(handover.Record(11, "c", b"2"))
     # A record that changes nothing is not put.
     context.end = 13
-    context.newest.move_on(at(context.end))
+    context.newest.advance(at(context.end))
 
 
 @when("{count:d} other keys are written and dropped")
@@ -311,7 +311,7 @@
         context.newest.put(handover.Record(10 + 2 * i, f"x{i}", b"1"))
         context.newest.put(handover.Record(11 + 2 * i, f"x{i}", b""))
     context.end = 10 + 2 * count
-    context.newest.move_on(at(context.end))
+    context.newest.advance(at(context.end))
 
 
 @then("at most {count:d} changes are ever handed over")
@@ -360,7 +360,7 @@
         for i in range(count)
     ]
     raw = orjson.dumps({**example, "routes": routes})
-    newest = handover.Newest()
+    newest = handover.NewestRecords()
     newest.replace([handover.Record(3, "config", raw)], at(4))
     packed = newest.pack_since(None)
     assert packed is not None
@@ -371,7 +371,7 @@
     assert isinstance(found, handover.Snapshot)
     assert found.records[0].raw == raw
     newest.put(handover.Record(5, "config", b"{}"))
-    newest.move_on(at(6))
+    newest.advance(at(6))
     newer = handover.unpack_snapshot(newest.pack_since(None) or b"", 5.0)
     assert isinstance(newer, handover.Snapshot)
     assert newer.records[0].raw == b"{}"
@@ -418,7 +418,7 @@
             zlib.compress(make_snapshot('[1,"a","b"]', left='["a",1,"x"]')),
             # Cut short, and one that would fill the memory.
             zlib.compress(make_snapshot('[1,"a","b"]'))[:-6],
-            zlib.compress(b" " * (handover.MOST_UNPACKED + 1)),
+            zlib.compress(b" " * (handover.MAX_UNPACKED_BYTES + 1)),
         )
     ]
 
