--- a/egretspur/catalog/handover.py
+++ b/egretspur/catalog/handover.py
@@ -357,7 +357,7 @@
 
 # Fetches the packed snapshot of a topic since a position from a host; None if
 # the host returned none. Arguments: host, topic, position.
-AskHost = Callable[[str, str, positions.Position | None], bytes | None]
+FetchSnapshot = Callable[[str, str, positions.Position | None], bytes | None]
 
 
 class HandoverSource(Generic[T]):
@@ -367,7 +367,7 @@
         self,
         topic: Topic[T],
         list_hosts: ListHosts,
-        fetch: AskHost,
+        fetch: FetchSnapshot,
         is_peers_first: Callable[[], bool],
         list_initial_hosts: ListHosts = list,
     ) -> None:
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -109,7 +109,7 @@
     """How other hosts are asked for what they have read."""
 
     hosts: Hosts
-    ask: handover.AskHost
+    ask: handover.FetchSnapshot
     # Those to ask before anyone is heard.
     list_at_start: handover.ListHosts
 
