--- a/egretspur/catalog/feeds.py
+++ b/egretspur/catalog/feeds.py
@@ -45,14 +45,14 @@
 
 
 @attrs.frozen
-class Whole(Generic[T]):
+class FullState(Generic[T]):
     """The newest value of every key."""
 
     values: Mapping[str, T | Unreadable]
     # Position from which to read the changes.
     next: positions.Position
     # Sent by another host, not read from the store.
-    is_handed: bool = False
+    is_from_peer: bool = False
     # Why the store did not answer, if it was called first and failed.
     failure: str = ""
 
@@ -65,7 +65,7 @@
     # Position from which to read the next changes.
     next: positions.Position
     # Sent by another host, not read from the store.
-    is_handed: bool = False
+    is_from_peer: bool = False
     # Why the store did not answer, if it was called first and failed.
     failure: str = ""
 
@@ -76,7 +76,7 @@
 
     # The store was restored from an older copy, which makes the position
     # invalid; otherwise the changes were dropped from the history.
-    is_copy: bool = False
+    is_restored: bool = False
 
 
 @attrs.frozen
@@ -86,13 +86,13 @@
     reason: str
 
 
-Result = Whole[T] | Changes[T] | Expired | Unavailable
+Result = FullState[T] | Changes[T] | Expired | Unavailable
 
 
 class Source(Protocol[T]):
     """One followed topic of the store."""
 
-    def read_newest(self) -> Whole[T] | Changes[T] | Unavailable:
+    def read_newest(self) -> FullState[T] | Changes[T] | Unavailable:
         """Returns the newest value of every key."""
 
     def read_changes(
@@ -206,7 +206,7 @@
                 self._back_off(backoff_s * self._rng.uniform(0.5, 1.0))
                 backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                 continue
-            if isinstance(res, Expired) or not res.is_handed:
+            if isinstance(res, Expired) or not res.is_from_peer:
                 self._record_answer()
                 backoff_s = INITIAL_BACKOFF_S
             period_s = self._get_pace().period_s
@@ -258,7 +258,7 @@
         return self._source.read_changes(since, wait_s)
 
     def deliver(
-        self, res: Whole[T] | Changes[T] | Expired
+        self, res: FullState[T] | Changes[T] | Expired
     ) -> positions.Position | None:
         """Passes a result to the sink.
 
@@ -270,12 +270,12 @@
             # in the full state.
             reason = (
                 "store restored from an older copy; reading the full state"
-                if res.is_copy
+                if res.is_restored
                 else "history expired; reading the full state"
             )
             _LOG.info(reason, extra={"feed": self._name})
             return None
-        if isinstance(res, Whole):
+        if isinstance(res, FullState):
             self._sink.take_whole(res.values)
         else:
             self._sink.take_changes(res.values)
--- a/egretspur/catalog/handover.py
+++ b/egretspur/catalog/handover.py
@@ -343,12 +343,12 @@
 
     name: str
 
-    def read_newest(self) -> feeds.Whole[T] | feeds.Unavailable:
+    def read_newest(self) -> feeds.FullState[T] | feeds.Unavailable:
         """Returns the newest value of every key."""
 
     def read_snapshot(
         self, data: bytes
-    ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
+    ) -> feeds.FullState[T] | feeds.Changes[T] | feeds.Unavailable:
         """Applies a packed snapshot of another host."""
 
 
@@ -391,7 +391,7 @@
 
     def read_newest(
         self,
-    ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
+    ) -> feeds.FullState[T] | feeds.Changes[T] | feeds.Unavailable:
         """Returns the newest state, from the store or from another host.
 
         The first read calls other hosts first, since the host refuses its
@@ -405,7 +405,7 @@
             if found is not None:
                 return found
         res = self._topic.read_newest()
-        if isinstance(res, feeds.Whole):
+        if isinstance(res, feeds.FullState):
             return res
         return self._fall_back(None, res)
 
@@ -425,7 +425,7 @@
 
     def _fall_back(
         self, since: positions.Position | None, res: feeds.Unavailable
-    ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
+    ) -> feeds.FullState[T] | feeds.Changes[T] | feeds.Unavailable:
         found = self._fetch_from_hosts(self._list_hosts(), since)
         if found is None:
             return res
@@ -433,7 +433,7 @@
 
     def _fetch_from_hosts(
         self, hosts: list[str], since: positions.Position | None
-    ) -> feeds.Whole[T] | feeds.Changes[T] | None:
+    ) -> feeds.FullState[T] | feeds.Changes[T] | None:
         """Returns the state of the first host that has one to send.
 
         Returns:
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -162,7 +162,7 @@
         self._clock = clock
         self.table: tables.Table[T] = tables.Table(topic, policy, clock)
 
-    def read_newest(self) -> feeds.Whole[T] | feeds.Unavailable:
+    def read_newest(self) -> feeds.FullState[T] | feeds.Unavailable:
         """Reads all pages; changes made meanwhile are read again after."""
         records: list[handover.Record] = []
         query: dict[str, Any] = {"topic": self._topic, "part": 0}
@@ -205,7 +205,7 @@
             is not positions.Standing.SAME
         ):
             # Its records may stand at offsets that other ones had before.
-            return feeds.Expired(is_copy=True)
+            return feeds.Expired(is_restored=True)
         if res.status == 410:
             return feeds.Expired()
         try:
@@ -225,7 +225,7 @@
 
     def read_snapshot(
         self, data: bytes
-    ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
+    ) -> feeds.FullState[T] | feeds.Changes[T] | feeds.Unavailable:
         """Takes what another host exported."""
         found = handover.unpack_snapshot(data, self._clock())
         if isinstance(found, feeds.Unavailable):
@@ -238,21 +238,21 @@
         if found.is_full:
             return self._take_whole(found.records, found.next, found.merge_info)
         changes = self.table.change(self._read(found.records), found.next)
-        return feeds.Changes(changes, found.next, is_handed=True)
+        return feeds.Changes(changes, found.next, is_from_peer=True)
 
     def _take_whole(
         self,
         records: Sequence[handover.Record],
         at: positions.Position,
         told: handover.MergeInfo | None = None,
-    ) -> feeds.Whole[T]:
+    ) -> feeds.FullState[T]:
         """Keeps and decodes the newest records, in the order they came.
 
         Of two entries that speak of one address, the later one counts.
         """
         ordered = sorted(records, key=lambda r: r.offset)
         values = self.table.replace(self._read(ordered), at, told)
-        return feeds.Whole(values, at, is_handed=told is not None)
+        return feeds.FullState(values, at, is_from_peer=told is not None)
 
     def _read(self, records: Sequence[handover.Record]) -> list[tables.Read[T]]:
         """Decodes records of keys that are followed."""
--- a/tests/listing.py
+++ b/tests/listing.py
@@ -115,7 +115,7 @@
     def read_whole(self, now_s: float) -> None:
         """Reads the whole list anew."""
         res = self.topic.read_newest()
-        assert isinstance(res, feeds.Whole), res
+        assert isinstance(res, feeds.FullState), res
         self.broker.replace_list(res.values, now_s)
         self.position = res.next
 
@@ -127,7 +127,7 @@
             return
         res = self.topic.read_snapshot(data)
         assert not isinstance(res, feeds.Unavailable), res
-        if isinstance(res, feeds.Whole):
+        if isinstance(res, feeds.FullState):
             self.broker.replace_list(res.values, now_s)
         else:
             self.broker.change_list(res.values, now_s)
--- a/tests/steps/catalog_steps.py
+++ b/tests/steps/catalog_steps.py
@@ -165,7 +165,7 @@
     assert held == fleets.parse_layers(layers), held
 
 
-Result = feeds.Whole[str] | feeds.Changes[str] | feeds.Expired
+Result = feeds.FullState[str] | feeds.Changes[str] | feeds.Expired
 Answer = Result | feeds.Unavailable
 
 
@@ -233,9 +233,9 @@
     make_feed(
         context,
         [
-            feeds.Whole({"a": "1", "b": "2"}, at(5)),
+            feeds.FullState({"a": "1", "b": "2"}, at(5)),
             feeds.Expired(),
-            feeds.Whole({"a": "1"}, at(40)),
+            feeds.FullState({"a": "1"}, at(40)),
             feeds.Changes((("c", "3"),), at(41)),
         ],
     )
@@ -256,7 +256,7 @@
 @given("a feed whose source fails {times:d} times")
 def step_fails(context: Any, times: int) -> None:
     answers: list[Answer] = [feeds.Unavailable("down")] * times
-    make_feed(context, [*answers, feeds.Whole({"a": "1"}, at(5))])
+    make_feed(context, [*answers, feeds.FullState({"a": "1"}, at(5))])
 
 
 @then("its pauses grow from {low:g} s to at most {high:g} s")
@@ -454,7 +454,7 @@
     def read_snapshot(self, data: bytes) -> Any:
         """Takes what a host has."""
         value = data.decode()
-        return feeds.Changes((("k", value),), at(9), is_handed=True)
+        return feeds.Changes((("k", value),), at(9), is_from_peer=True)
 
 
 @given("a source that asks {first} first")
@@ -522,7 +522,7 @@
 @then("the store was asked for all once")
 def step_asked_all(context: Any) -> None:
     assert context.topic.calls == 1
-    assert not context.res.is_handed
+    assert not context.res.is_from_peer
 
 
 @then("the store was called once")
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -176,9 +176,9 @@
 class Source:
     """Changes, then whatever is asked for."""
 
-    def read_newest(self) -> feeds.Whole[str]:
+    def read_newest(self) -> feeds.FullState[str]:
         """Returns a value."""
-        return feeds.Whole({"k": "whole"}, positions.Position(1, 5))
+        return feeds.FullState({"k": "whole"}, positions.Position(1, 5))
 
     def read_changes(
         self, since: positions.Position, wait_s: float
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -285,7 +285,7 @@
 
 @then("all 5 are known and reading goes on from the first page's end")
 def step_all(context: Any) -> None:
-    assert isinstance(context.whole, feeds.Whole)
+    assert isinstance(context.whole, feeds.FullState)
     assert context.whole.values == {f"k{i}": i + 1 for i in range(5)}
     # Later pages may hold changes made meanwhile; those are read again.
     assert context.whole.next == positions.Position(0, 42)
