--- a/egretspur/catalog/feeds.py
+++ b/egretspur/catalog/feeds.py
@@ -143,7 +143,7 @@
         name: str,
         source: Source[T],
         sink: Sink[T],
-        get_pace: Callable[[], Pace],
+        get_timing: Callable[[], Pace],
         sleep: Callable[[float], object] | None = None,
     ) -> None:
         """Makes a feed; `start` starts it.
@@ -152,13 +152,13 @@
             name: Name in logs and of the thread.
             source: Source to read.
             sink: Receives what was read.
-            get_pace: Returns the timing; called for each read.
+            get_timing: Returns the timing; called for each read.
             sleep: Replaces the waits between reads, for tests.
         """
         self._name = name
         self._source = source
         self._sink = sink
-        self._get_pace = get_pace
+        self._get_timing = get_timing
         # Monotonic time since which the store has not answered.
         self._outage_since_s: float | None = None
         self._stop = threading.Event()
@@ -209,7 +209,7 @@
             if isinstance(res, Expired) or not res.is_from_peer:
                 self._record_answer()
                 backoff_s = INITIAL_BACKOFF_S
-            period_s = self._get_pace().period_s
+            period_s = self._get_timing().period_s
             rest_s = began_s + period_s - time.monotonic()
             if rest_s > 0:
                 self._sleep(rest_s)
@@ -229,7 +229,7 @@
             The result, and the position of the next read.
         """
         with guard.surviving(f"feed {self._name}") as failure:
-            res = self.read_once(since, self._get_pace().wait_s)
+            res = self.read_once(since, self._get_timing().wait_s)
             if not isinstance(res, Unavailable):
                 since = self.deliver(res)
             return res, since
--- a/egretspur/catalog/quarantined.py
+++ b/egretspur/catalog/quarantined.py
@@ -49,7 +49,7 @@
 Write = Callable[[str, quarantine.Ends], str]
 
 
-def get_pace(is_reader: bool) -> feeds.Pace:
+def get_timing(is_reader: bool) -> feeds.Pace:
     """Returns the timing of the feed of quarantined requests."""
     if is_reader:
         return feeds.Pace(READ_WAIT_S, 0.0)
--- a/egretspur/catalog/reading.py
+++ b/egretspur/catalog/reading.py
@@ -47,14 +47,14 @@
     era: int = 0
 
 
-def get_config_pace(is_reader: bool) -> feeds.Pace:
+def get_config_timing(is_reader: bool) -> feeds.Pace:
     """Returns the timing of the feed of the configuration."""
     if is_reader:
         return feeds.Pace(CONFIG_WAIT_S, 0.0)
     return feeds.Pace(0.0, NON_READER_PERIOD_S)
 
 
-def get_list_pace(is_reader: bool) -> feeds.Pace:
+def get_list_timing(is_reader: bool) -> feeds.Pace:
     """Returns the timing of the feed of the list of upstreams."""
     return feeds.Pace(0.0, LIST_PERIOD_S if is_reader else NON_READER_PERIOD_S)
 
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -178,19 +178,19 @@
             "config",
             self._join(configs, hosts.list_newest),
             ConfigSink(configure),
-            lambda: reading.get_config_pace(hosts.is_reader()),
+            lambda: reading.get_config_timing(hosts.is_reader()),
         )
         self._listed = feeds.Feed(
             "upstreams",
             self._join(listed, hosts.list_alive),
             self.listed,
-            lambda: reading.get_list_pace(hosts.is_reader()),
+            lambda: reading.get_list_timing(hosts.is_reader()),
         )
         self._held = feeds.Feed(
             "quarantine",
             self._join(held, hosts.list_alive),
             quarantined.Sink(to, saver),
-            lambda: quarantined.get_pace(hosts.is_reader()),
+            lambda: quarantined.get_timing(hosts.is_reader()),
         )
         self._all: tuple[feeds.Feed[Any], ...] = (
             self._configs,
