--- a/egretspur/catalog/feeds.py
+++ b/egretspur/catalog/feeds.py
@@ -186,7 +186,7 @@
         self._stop.set()
         self._woken.set()
 
-    def poke(self) -> None:
+    def wake(self) -> None:
         """Wakes the thread to read: another host has newer state."""
         self._woken.set()
 
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -256,11 +256,11 @@
             self.poke_all()
             return
         if any(reading.is_config_due(known, n.known) for n in heard):
-            self._configs.poke()
+            self._configs.wake()
         if any(reading.is_list_due(known, n.known) for n in heard):
-            self._listed.poke()
+            self._listed.wake()
 
     def poke_all(self) -> None:
         """Has all read now: the reader, or the store's era, is another."""
         for feed in self._all:
-            feed.poke()
+            feed.wake()
