--- a/bench/duties.py
+++ b/bench/duties.py
@@ -221,7 +221,7 @@
         f"127.0.{100 + number // 250}.{number % 250 + 1}",
         place,
         0.1,
-        reading.Known(2, 1, 1e6),
+        reading.ReadState(2, 1, 1e6),
         {name: jobs.Usage(1, rng.uniform(1e3, 2e4)) for name in used},
         {},
         (),
--- a/egretspur/catalog/feeds.py
+++ b/egretspur/catalog/feeds.py
@@ -126,7 +126,7 @@
 
 
 @attrs.frozen
-class Pace:
+class Timing:
     """Timing of a feed's reads."""
 
     # How long the store may wait for a change, in seconds.
@@ -143,7 +143,7 @@
         name: str,
         source: Source[T],
         sink: Sink[T],
-        get_timing: Callable[[], Pace],
+        get_timing: Callable[[], Timing],
         sleep: Callable[[float], object] | None = None,
     ) -> None:
         """Makes a feed; `start` starts it.
@@ -210,9 +210,9 @@
                 self._record_answer()
                 backoff_s = INITIAL_BACKOFF_S
             period_s = self._get_timing().period_s
-            rest_s = began_s + period_s - time.monotonic()
-            if rest_s > 0:
-                self._sleep(rest_s)
+            wait_s = began_s + period_s - time.monotonic()
+            if wait_s > 0:
+                self._sleep(wait_s)
             early_s = (
                 began_s + min(period_s, MIN_READ_INTERVAL_S) - time.monotonic()
             )
--- a/egretspur/catalog/handover.py
+++ b/egretspur/catalog/handover.py
@@ -163,9 +163,9 @@
                 self._evict_oldest_tombstone()
 
     def _evict_oldest_tombstone(self) -> None:
-        dropped = [r for r in self._records.values() if not r.raw]
-        if len(dropped) > MAX_TOMBSTONES:
-            oldest = dropped[0]
+        tombstones = [r for r in self._records.values() if not r.raw]
+        if len(tombstones) > MAX_TOMBSTONES:
+            oldest = tombstones[0]
             del self._records[oldest.key]
             self._complete_from = max(self._complete_from, oldest.offset + 1)
 
@@ -218,7 +218,7 @@
             at = self.position
             if at is None or _is_ahead(since, at):
                 return None
-            is_whole = (
+            is_full = (
                 since is None
                 or since.era != at.era
                 or since.offset < self._complete_from
@@ -227,14 +227,14 @@
             found = [
                 r
                 for r in self._records.values()
-                if (r.raw if is_whole else since and r.offset >= since.offset)
+                if (r.raw if is_full else since and r.offset >= since.offset)
             ]
             found.sort(key=lambda r: r.offset)
-            if not is_whole:
+            if not is_full:
                 return Snapshot(tuple(found), at, False)
-            dropped = tuple(k for k, r in self._records.items() if not r.raw)
+            removed = tuple(k for k, r in self._records.items() if not r.raw)
             return Snapshot(
-                tuple(found), at, True, MergeInfo(dropped, self._overrides)
+                tuple(found), at, True, MergeInfo(removed, self._overrides)
             )
 
 
@@ -243,9 +243,9 @@
     if since is None:
         return False
     standing = positions.compare_eras(at.era, since.era)
-    if standing is positions.Standing.SAME:
+    if standing is positions.EraOrder.SAME:
         return since.offset > at.offset
-    return standing is positions.Standing.NEWER
+    return standing is positions.EraOrder.NEWER
 
 
 def pack_snapshot(snapshot: Snapshot, now_s: float) -> bytes:
@@ -255,7 +255,7 @@
         [r.offset, r.key, r.raw.decode("latin-1")]
         for r in snapshot.records
     ]
-    overruled = [
+    overrides = [
         [key, o.offset, None if math.isinf(o.until_s) else o.until_s - now_s]
         for key, o in snapshot.merge_info.overrides.items()
     ]
@@ -266,7 +266,7 @@
             snapshot.is_full,
             rows,
             snapshot.merge_info.removed,
-            overruled,
+            overrides,
         ]
     )
     return zlib.compress(data, COMPRESSION_LEVEL)
@@ -291,7 +291,7 @@
 
 def _read_snapshot(value: Any, now_s: float) -> Snapshot:
     """Returns a snapshot; raises `codec.DecodeError` if it is malformed."""
-    at, is_whole, rows, dropped, overruled = checks.check_row(
+    at, is_full, rows, removed, overrides = checks.check_row(
         value, "snapshot", 5
     )
     era, end = checks.check_row(at, "next", 2)
@@ -306,22 +306,22 @@
     position = positions.Position(
         checks.check_count(era, "era"), checks.check_count(end, "next")
     )
-    told = MergeInfo(
+    merge_info = MergeInfo(
         tuple(
             checks.check_string(k, "dropped")
-            for k in checks.check_list(dropped, "dropped")
+            for k in checks.check_list(removed, "dropped")
         ),
         {
-            checks.check_string(key, "key"): _read_overruled(
+            checks.check_string(key, "key"): _read_override(
                 offset, left_s, now_s
             )
-            for key, offset, left_s in _check_rows(overruled)
+            for key, offset, left_s in _check_rows(overrides)
         },
     )
-    return Snapshot(records, position, bool(is_whole), told)
+    return Snapshot(records, position, bool(is_full), merge_info)
 
 
-def _read_overruled(offset: Any, left_s: Any, now_s: float) -> Override:
+def _read_override(offset: Any, left_s: Any, now_s: float) -> Override:
     if offset is not None:
         checks.check_count(offset, "offset")
     if left_s is None:
--- a/egretspur/catalog/positions.py
+++ b/egretspur/catalog/positions.py
@@ -15,7 +15,7 @@
 import attrs
 
 
-class Standing(enum.Enum):
+class EraOrder(enum.Enum):
     """Result of comparing an era with a known one."""
 
     SAME = "same"
@@ -25,11 +25,11 @@
     NEWER = "newer"
 
 
-def compare_eras(known: int, other: int) -> Standing:
+def compare_eras(known: int, other: int) -> EraOrder:
     """Compares another era with the known one."""
     if other == known:
-        return Standing.SAME
-    return Standing.OLDER if other < known else Standing.NEWER
+        return EraOrder.SAME
+    return EraOrder.OLDER if other < known else EraOrder.NEWER
 
 
 @attrs.frozen
@@ -49,7 +49,7 @@
         self._lock = threading.Lock()
         self.newest = 0
 
-    def note(self, era: int) -> Standing:
+    def observe(self, era: int) -> EraOrder:
         """Records the era of an answer and compares it with the newest.
 
         An answer of an older era was delayed or duplicated on the network; the
@@ -57,6 +57,6 @@
         """
         with self._lock:
             standing = compare_eras(self.newest, era)
-            if standing is Standing.NEWER:
+            if standing is EraOrder.NEWER:
                 self.newest = era
             return standing
--- a/egretspur/catalog/quarantined.py
+++ b/egretspur/catalog/quarantined.py
@@ -42,18 +42,18 @@
 # Range of the random delay before a reader rewrites lost records of others.
 # The readers of all data centres do; those that read the record meanwhile skip
 # it.
-REWRITE_S: Final = (0.5, 3.0)
+REWRITE_DELAY_S: Final = (0.5, 3.0)
 
 # Writes the crashes of a request under its fingerprint, or removes the record
 # if there are none; returns why it failed, or an empty string.
 Write = Callable[[str, quarantine.Ends], str]
 
 
-def get_timing(is_reader: bool) -> feeds.Pace:
+def get_timing(is_reader: bool) -> feeds.Timing:
     """Returns the timing of the feed of quarantined requests."""
     if is_reader:
-        return feeds.Pace(READ_WAIT_S, 0.0)
-    return feeds.Pace(0.0, NON_READER_PERIOD_S)
+        return feeds.Timing(READ_WAIT_S, 0.0)
+    return feeds.Timing(0.0, NON_READER_PERIOD_S)
 
 
 @attrs.frozen
@@ -66,9 +66,9 @@
 class Sink:
     """Passes the store's records to the desk; see `feeds.Sink`."""
 
-    def __init__(self, to: desk.Desk, saver: Saver) -> None:
+    def __init__(self, to: desk.Desk, writer: Writer) -> None:
         self._desk = to
-        self._saver = saver
+        self._writer = writer
 
     def take_whole(
         self, values: Mapping[str, quarantine.Ends | feeds.Unreadable]
@@ -84,7 +84,7 @@
     ) -> None:
         """Applies changes; a malformed record is ignored."""
         for fingerprint, _ in values:
-            self._saver.note_written(fingerprint)
+            self._writer.cancel_rewrite(fingerprint)
         self._restore(values)
 
     def _restore(
@@ -105,7 +105,7 @@
         """Does nothing: no state depends on the time of the last answer."""
 
 
-class Saver:
+class Writer:
     """Writes to the store what this host quarantined or released."""
 
     def __init__(self, write: Write, rng: random.Random) -> None:
@@ -137,13 +137,13 @@
         self._stop.set()
         self._wake.set()
 
-    def take(self, changes: Sequence[quarantine.Change]) -> None:
+    def queue_changes(self, changes: Sequence[quarantine.Change]) -> None:
         """Queues changes to write at once."""
         self._queue(changes, 0.0)
 
-    def note_copy(
+    def rewrite_lost(
         self,
-        report: tables.CopyReport[quarantine.Ends],
+        report: tables.RestoreReport[quarantine.Ends],
         is_reader: bool,
     ) -> None:
         """Queues records that a restored copy of the store lacks.
@@ -170,9 +170,9 @@
                 for f, ends in report.kept.items()
                 if f not in own and not isinstance(ends, feeds.Unreadable)
             ]
-            self._queue(lost, self._rng.uniform(*REWRITE_S))
+            self._queue(lost, self._rng.uniform(*REWRITE_DELAY_S))
 
-    def note_written(self, fingerprint: str) -> None:
+    def cancel_rewrite(self, fingerprint: str) -> None:
         """Cancels a delayed rewrite, since the store has the record."""
         now_s = time.monotonic()
         with self._lock:
@@ -196,7 +196,7 @@
                 return
             self._wake.clear()
             with guard.surviving("quarantine"):
-                if not self.write_waiting():
+                if not self.write_due():
                     self._stop.wait(WRITE_RETRY_S)
                     self._wake.set()
 
@@ -206,7 +206,7 @@
             due_s = min((w.due_s for w in self._pending.values()), default=None)
         return None if due_s is None else max(0.0, due_s - time.monotonic())
 
-    def write_waiting(self) -> bool:
+    def write_due(self) -> bool:
         """Writes what is due; returns whether all writes succeeded."""
         now_s = time.monotonic()
         with self._lock:
--- a/egretspur/catalog/reading.py
+++ b/egretspur/catalog/reading.py
@@ -30,11 +30,11 @@
 # Maximum age of a list that makes other hosts read, and whose host counts as a
 # reader. Even if one datagram is lost, all hosts read within two seconds of a
 # change.
-FRESH_S: Final = 1.5
+MAX_LIST_AGE_S: Final = 1.5
 
 
 @attrs.frozen
-class Known:
+class ReadState:
     """What a host has read, as in its peer updates."""
 
     # Of the configuration; 0 for none.
@@ -47,36 +47,38 @@
     era: int = 0
 
 
-def get_config_timing(is_reader: bool) -> feeds.Pace:
+def get_config_timing(is_reader: bool) -> feeds.Timing:
     """Returns the timing of the feed of the configuration."""
     if is_reader:
-        return feeds.Pace(CONFIG_WAIT_S, 0.0)
-    return feeds.Pace(0.0, NON_READER_PERIOD_S)
+        return feeds.Timing(CONFIG_WAIT_S, 0.0)
+    return feeds.Timing(0.0, NON_READER_PERIOD_S)
 
 
-def get_list_timing(is_reader: bool) -> feeds.Pace:
+def get_list_timing(is_reader: bool) -> feeds.Timing:
     """Returns the timing of the feed of the list of upstreams."""
-    return feeds.Pace(0.0, LIST_PERIOD_S if is_reader else NON_READER_PERIOD_S)
+    return feeds.Timing(
+        0.0, LIST_PERIOD_S if is_reader else NON_READER_PERIOD_S
+    )
 
 
-def is_config_due(mine: Known, other: Known) -> bool:
+def is_config_stale(mine: ReadState, other: ReadState) -> bool:
     """Returns whether another host has a newer configuration."""
     return other.version > mine.version
 
 
-def is_copy_due(mine: Known, other: Known) -> bool:
+def is_era_stale(mine: ReadState, other: ReadState) -> bool:
     """Returns whether another host has read a newer era of the store.
 
     Hosts that the store refuses detect a restore in this way.
     """
     standing = positions.compare_eras(mine.era, other.era)
-    return standing is positions.Standing.NEWER
+    return standing is positions.EraOrder.NEWER
 
 
-def is_list_due(mine: Known, other: Known) -> bool:
+def is_list_stale(mine: ReadState, other: ReadState) -> bool:
     """Returns whether another host has a different list that is newer."""
     return (
-        other.list_age_s < FRESH_S
+        other.list_age_s < MAX_LIST_AGE_S
         and other.list_age_s < mine.list_age_s
         and other.digest != mine.digest
     )
--- a/egretspur/catalog/tables.py
+++ b/egretspur/catalog/tables.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Read(Generic[T]):
+class DecodedRecord(Generic[T]):
     """A record with its decoded value."""
 
     record: handover.Record
@@ -53,12 +53,12 @@
 
 
 @attrs.frozen
-class CopyReport(Generic[T]):
+class RestoreReport(Generic[T]):
     """Result of merging a topic with a restored copy of the store."""
 
     topic: str
     # Eras before and after the restore.
-    before: int
+    previous_era: int
     era: int
     # Number of records in the copy.
     read: int
@@ -95,9 +95,11 @@
         # Overrides of the copy's records, by key.
         self._overrides: dict[str, handover.Override] = {}
         # Ignored records of keys that have no known value.
-        self._withheld: dict[str, Read[T]] = {}
+        self._withheld: dict[str, DecodedRecord[T]] = {}
         # Called after the first read of the topic from a restored store.
-        self.note_copy: Callable[[CopyReport[T]], None] = lambda report: None
+        self.on_restore: Callable[[RestoreReport[T]], None] = lambda report: (
+            None
+        )
 
     def get_value(self, key: str) -> Value[T] | None:
         """Returns the value of a key; None if it has none."""
@@ -108,12 +110,12 @@
         return self._newest.position
 
     def export(self, since: positions.Position | None) -> bytes | None:
-        """Returns the packed snapshot for a host; see `handover.Newest`."""
+        """Returns the packed snapshot for a host that has read to `since`."""
         return self._newest.pack_since(since)
 
     def replace(
         self,
-        reads: Sequence[Read[T]],
+        reads: Sequence[DecodedRecord[T]],
         at: positions.Position,
         merge_info: handover.MergeInfo | None = None,
     ) -> dict[str, Value[T]]:
@@ -122,8 +124,8 @@
         Args:
             reads: The newest record of each key, oldest first.
             at: Position from which to read changes.
-            merge_info: Sent by the other host beside the records; None if they were
-                read from the store.
+            merge_info: Sent by the other host beside the records; None if
+                they were read from the store.
 
         Returns:
             The values after the merge, by key.
@@ -156,7 +158,7 @@
         return dict(self._values)
 
     def change(
-        self, reads: Sequence[Read[T]], at: positions.Position
+        self, reads: Sequence[DecodedRecord[T]], at: positions.Position
     ) -> Changed[T]:
         """Applies records written since the last read, oldest first.
 
@@ -173,7 +175,7 @@
             if self._policy.is_monotonic and self._is_superseded(read):
                 self._overrides[record.key] = handover.Override(record.offset)
                 continue
-            is_settled = self._overrides.pop(record.key, None) is not None
+            is_rewritten = self._overrides.pop(record.key, None) is not None
             self._withheld.pop(record.key, None)
             if value is None:
                 self._values.pop(record.key, None)
@@ -181,7 +183,7 @@
             else:
                 # The offset of a kept value is not valid in this era, so the
                 # rewritten record is stored for other hosts even if equal.
-                if is_settled or self._values.get(record.key) != value:
+                if is_rewritten or self._values.get(record.key) != value:
                     self._newest.put(record)
                 self._values[record.key] = value
             changes.append((record.key, value))
@@ -189,31 +191,33 @@
         self._newest.advance(at, self._overrides)
         return tuple(changes)
 
-    def _is_superseded(self, read: Read[T]) -> bool:
+    def _is_superseded(self, read: DecodedRecord[T]) -> bool:
         """Returns whether the known value of its key supersedes a record."""
         known = self._values.get(read.record.key)
         return known is not None and self._supersedes(known, read.value)
 
-    def _drop_ended_overrides(self, fresh: Mapping[str, Read[T]]) -> None:
+    def _drop_ended_overrides(
+        self, fresh: Mapping[str, DecodedRecord[T]]
+    ) -> None:
         """Removes overrides of keys of which a later record was read."""
-        for key, overruled in list(self._overrides.items()):
+        for key, override in list(self._overrides.items()):
             read = fresh.get(key)
-            if read is not None and not overruled.ignores(read.record):
+            if read is not None and not override.ignores(read.record):
                 del self._overrides[key]
 
     def _find_surviving(
         self,
-        fresh: Mapping[str, Read[T]],
+        fresh: Mapping[str, DecodedRecord[T]],
         merge_info: handover.MergeInfo | None,
     ) -> dict[str, handover.Override]:
         """Returns overrides for known values that survive a restore."""
         found = {}
         kept_until_s = self._clock() + self._policy.keep_missing_s
-        dropped = merge_info.removed if merge_info else ()
+        removed = merge_info.removed if merge_info else ()
         for key, value in self._values.items():
             read = fresh.get(key)
             if read is None:
-                if key not in dropped:
+                if key not in removed:
                     found[key] = handover.Override(None, kept_until_s)
             elif self._supersedes(value, read.value):
                 found[key] = handover.Override(read.record.offset)
@@ -221,7 +225,7 @@
 
     def _find_removed(
         self,
-        fresh: Mapping[str, Read[T]],
+        fresh: Mapping[str, DecodedRecord[T]],
         read_up_to: int,
         merge_info: handover.MergeInfo | None,
     ) -> dict[str, handover.Override]:
@@ -252,9 +256,9 @@
     def _resolve(
         self,
         key: str,
-        fresh: Mapping[str, Read[T]],
+        fresh: Mapping[str, DecodedRecord[T]],
         merge_info: handover.MergeInfo,
-    ) -> Read[T] | None:
+    ) -> DecodedRecord[T] | None:
         """Returns the record of a key after a merge; None for no value.
 
         Args:
@@ -279,26 +283,26 @@
             return mine
         return theirs
 
-    def _get_known(self, key: str) -> Read[T] | None:
+    def _get_known(self, key: str) -> DecodedRecord[T] | None:
         value = self._values.get(key)
         record = self._newest.get(key)
         if value is None or record is None:
             return None
         # Its offset is of an earlier era, so it sorts before all records.
-        return Read(attrs.evolve(record, offset=0), value)
+        return DecodedRecord(attrs.evolve(record, offset=0), value)
 
     def _replace_all(
         self,
-        known: Sequence[Read[T]],
+        known: Sequence[DecodedRecord[T]],
         at: positions.Position,
-        dropped: Collection[str],
+        removed: Collection[str],
     ) -> None:
         """Replaces all values and records, and adds removed keys."""
         ordered = sorted(known, key=lambda r: r.record.offset)
         self._values = {
             r.record.key: r.value for r in ordered if r.value is not None
         }
-        gone = {*self._newest.list_removed(), *dropped} - set(self._values)
+        gone = {*self._newest.list_removed(), *removed} - set(self._values)
         self._newest.replace(
             [r.record for r in ordered], at, gone, self._overrides
         )
@@ -308,8 +312,8 @@
             k: self._values[k] for k in self._overrides if k in self._values
         }
         withheld = tuple(k for k in self._overrides if k not in kept)
-        self.note_copy(
-            CopyReport(self._name, before, era, read, kept, withheld)
+        self.on_restore(
+            RestoreReport(self._name, before, era, read, kept, withheld)
         )
 
     def _expire(self, at: positions.Position) -> Changed[T]:
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -123,9 +123,9 @@
     def __init__(self, topics: int) -> None:
         """Makes an account that waits for so many topics."""
         self._topics = topics
-        self._reports: dict[int, dict[str, tables.CopyReport[Any]]] = {}
+        self._reports: dict[int, dict[str, tables.RestoreReport[Any]]] = {}
 
-    def add(self, report: tables.CopyReport[Any]) -> None:
+    def add(self, report: tables.RestoreReport[Any]) -> None:
         """Takes a topic's report, and logs them once all are there."""
         reports = self._reports.setdefault(report.era, {})
         reports[report.topic] = report
@@ -137,7 +137,7 @@
         names = slice(decisions.NAMED)
         decisions.record(
             decisions.StoreCopied(
-                report.before,
+                report.previous_era,
                 report.era,
                 {t: r.read for t, r in reports.items()},
                 {t: tuple(r.kept)[names] for t, r in reports.items()},
@@ -155,7 +155,7 @@
         near: Neighbours,
         to: desk.Desk,
         configure: Callable[[config.Configuration], None],
-        saver: quarantined.Saver,
+        saver: quarantined.Writer,
         limits: bounds.Bounds,
     ) -> None:
         """Makes feeds that have read nothing.
@@ -204,16 +204,16 @@
         self._copies = CopyAccount(len(self.topics))
         self._upstreams = listed
         for topic in self.topics.values():
-            topic.table.note_copy = self._copies.add
-        held.table.note_copy = functools.partial(self._note_held_copy, saver)
+            topic.table.on_restore = self._copies.add
+        held.table.on_restore = functools.partial(self._note_held_copy, saver)
 
     def _note_held_copy(
         self,
-        saver: quarantined.Saver,
-        report: tables.CopyReport[quarantine.Ends],
+        saver: quarantined.Writer,
+        report: tables.RestoreReport[quarantine.Ends],
     ) -> None:
         self._copies.add(report)
-        saver.note_copy(report, self._near.hosts.is_reader())
+        saver.rewrite_lost(report, self._near.hosts.is_reader())
 
     def get_era(self) -> int:
         """Returns the era of the store as the list was last read."""
@@ -244,7 +244,7 @@
             feed.close()
 
     def poke(
-        self, known: reading.Known, heard: Sequence[datagrams.News]
+        self, known: reading.ReadState, heard: Sequence[datagrams.News]
     ) -> None:
         """Has read what another host has read already.
 
@@ -252,12 +252,12 @@
             known: What this host has, as it last told others.
             heard: News of others.
         """
-        if any(reading.is_copy_due(known, n.known) for n in heard):
+        if any(reading.is_era_stale(known, n.known) for n in heard):
             self.poke_all()
             return
-        if any(reading.is_config_due(known, n.known) for n in heard):
+        if any(reading.is_config_stale(known, n.known) for n in heard):
             self._configs.wake()
-        if any(reading.is_list_due(known, n.known) for n in heard):
+        if any(reading.is_list_stale(known, n.known) for n in heard):
             self._listed.wake()
 
     def poke_all(self) -> None:
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -122,7 +122,7 @@
         self._pages_client = transport.Transport(0.3, 1.0)
         group = store.Group(self._store, f"orders-{cfg.data_centre}", cfg.ip)
         self._members = duty.Members(group, cfg.ip, rng)
-        self._saver = quarantined.Saver(
+        self._saver = quarantined.Writer(
             functools.partial(store.write_quarantine, self._store), rng
         )
         self._followed = follow.Followed(
@@ -136,13 +136,16 @@
             cfg.bounds,
         )
         self._prober = probes.Prober(
-            self._desk, self._probe, self._exchange.hurry, self._saver.take
+            self._desk,
+            self._probe,
+            self._exchange.hurry,
+            self._saver.queue_changes,
         )
         self._duty = duty.Duty(group, self._exchange)
         self._keeper = ranges.RangeKeeper(self._duty, self._engines, self)
         self._versions = config.Versions()
         # As it was last told to others.
-        self._known = reading.Known(0, 0, math.inf)
+        self._known = reading.ReadState(0, 0, math.inf)
         self._was_reader = False
         self._file = node.SettingsFile()
         self._is_reload_due = False
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -62,7 +62,7 @@
         host=ip,
         data_centre=own.data_centre,
         store_age_s=max(0.0, view.age_s),
-        known=reading.Known(
+        known=reading.ReadState(
             view.version,
             own.compute_digest(),
             min(max(0.0, view.list_age_s), NEVER_S),
--- a/egretspur/membership/datagrams.py
+++ b/egretspur/membership/datagrams.py
@@ -47,7 +47,7 @@
     # Seconds since the store last answered it.
     store_age_s: float
     # What it has read of the store's topics.
-    known: reading.Known
+    known: reading.ReadState
     usage: Mapping[str, jobs.Usage]
     # Engines that run slower than their kind.
     pace: Mapping[str, float]
@@ -172,9 +172,9 @@
     return _Told(row, parts)
 
 
-def _decode_known(value: Any) -> reading.Known:
+def _decode_known(value: Any) -> reading.ReadState:
     version, digest, list_age_s, era = checks.check_row(value, "known", 4)
-    return reading.Known(
+    return reading.ReadState(
         checks.check_count(version, "version"),
         checks.check_count(digest, "digest"),
         checks.check_number(list_age_s, "list_age"),
--- a/egretspur/membership/exchange.py
+++ b/egretspur/membership/exchange.py
@@ -355,7 +355,7 @@
 
 def _is_fresh(heard: _Heard, now_s: float) -> bool:
     """Tells whether a host has read the list of late."""
-    return heard.list_age_s + now_s - heard.at_s < reading.FRESH_S
+    return heard.list_age_s + now_s - heard.at_s < reading.MAX_LIST_AGE_S
 
 
 class Exchange:
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -119,7 +119,7 @@
             return feeds.Unavailable(res.reason)
         if res.status not in good:
             return feeds.Unavailable(f"{target}: status {res.status}")
-        if self.eras.note(read_era(res)) is positions.Standing.OLDER:
+        if self.eras.observe(read_era(res)) is positions.EraOrder.OLDER:
             return feeds.Unavailable(f"{target}: of before the store's copy")
         self.answered_s = time.monotonic()
         return res
@@ -202,7 +202,7 @@
         era = read_era(res)
         if (
             positions.compare_eras(since.era, era)
-            is not positions.Standing.SAME
+            is not positions.EraOrder.SAME
         ):
             # Its records may stand at offsets that other ones had before.
             return feeds.Expired(is_restored=True)
@@ -233,7 +233,7 @@
         mine = self.table.get_position()
         if mine is not None:
             standing = positions.compare_eras(mine.era, found.next.era)
-            if standing is positions.Standing.OLDER:
+            if standing is positions.EraOrder.OLDER:
                 return feeds.Unavailable("snapshot of before the store's copy")
         if found.is_full:
             return self._take_whole(found.records, found.next, found.merge_info)
@@ -254,17 +254,21 @@
         values = self.table.replace(self._read(ordered), at, told)
         return feeds.FullState(values, at, is_from_peer=told is not None)
 
-    def _read(self, records: Sequence[handover.Record]) -> list[tables.Read[T]]:
+    def _read(
+        self, records: Sequence[handover.Record]
+    ) -> list[tables.DecodedRecord[T]]:
         """Decodes records of keys that are followed."""
-        reads: list[tables.Read[T]] = []
+        reads: list[tables.DecodedRecord[T]] = []
         for record in records:
             if not self._is_followed(record.key):
                 continue
             if not record.raw:
-                reads.append(tables.Read(record, None))
+                reads.append(tables.DecodedRecord(record, None))
                 continue
             value = self._read_value(record, self.table.get_value(record.key))
-            reads.append(tables.Read(_make_handed(record, value), value))
+            reads.append(
+                tables.DecodedRecord(_make_handed(record, value), value)
+            )
         return reads
 
     def _read_value(
--- a/tests/admission/sharing.py
+++ b/tests/admission/sharing.py
@@ -155,7 +155,7 @@
         spent: dict[str, shared.Spent],
         named: dict[str, str],
     ) -> datagrams.News:
-        known = reading.Known(1, 1, 0.0)
+        known = reading.ReadState(1, 1, 0.0)
         return datagrams.News(
             sender.ip,
             sender.place,
--- a/tests/steps/catalog_steps.py
+++ b/tests/steps/catalog_steps.py
@@ -223,7 +223,7 @@
         "test",
         context.source,
         context.sink,
-        lambda: feeds.Pace(0.0, 60.0),
+        lambda: feeds.Timing(0.0, 60.0),
         sleep,
     )
 
@@ -317,10 +317,10 @@
 @then("at most {count:d} changes are ever handed over")
 def step_kept_keys(context: Any, count: int) -> None:
     every = [context.newest.list_since(at(i)) for i in range(context.end + 1)]
-    changes = [len(s.records) for s in every if not s.is_whole]
+    changes = [len(s.records) for s in every if not s.is_full]
     # Those that have read less than the oldest that is kept get everything.
     assert max(changes) <= count, max(changes)
-    assert every[0].is_whole and every[12].is_whole
+    assert every[0].is_full and every[12].is_full
 
 
 @then('a host that has read up to {offset:d} is handed all of "{keys}"')
@@ -562,7 +562,7 @@
 def step_always_fails(context: Any) -> None:
     context.source = FailingSource()
     context.feed = feeds.Feed(
-        "test", context.source, Sink(), lambda: feeds.Pace(0.0, 60.0)
+        "test", context.source, Sink(), lambda: feeds.Timing(0.0, 60.0)
     )
 
 
@@ -570,7 +570,7 @@
 def step_poked(context: Any, times: int, seconds: float) -> None:
     context.feed.start()
     for _ in range(times):
-        context.feed.poke()
+        context.feed.wake()
         time.sleep(seconds / times)
     context.feed.close()
     context.feed.join(5.0)
--- a/tests/steps/copies_steps.py
+++ b/tests/steps/copies_steps.py
@@ -253,12 +253,12 @@
     assert started.get_version() == version
 
 
-class Saver:
-    """A host's saver, and what it wrote."""
+class QuarantineHost:
+    """A host's writer, and the records that it wrote."""
 
     def __init__(self, seed: int) -> None:
         self.written: list[str] = []
-        self.saver = quarantined.Saver(self.write, random.Random(seed))
+        self.writer = quarantined.Writer(self.write, random.Random(seed))
 
     def write(self, fingerprint: str, ends: quarantine.Ends) -> str:
         """Takes a record as the store does."""
@@ -270,55 +270,55 @@
 
 
 @given('three quarantine writers, the first of which recently wrote "{name}"')
-def step_savers(context: Any, name: str) -> None:
-    context.savers = [Saver(seed) for seed in range(HOSTS)]
-    first = context.savers[0]
-    first.saver.take([quarantine.Change(name, ENDS, True)])
-    assert first.saver.write_waiting()
+def step_writers(context: Any, name: str) -> None:
+    context.quarantine_hosts = [QuarantineHost(seed) for seed in range(HOSTS)]
+    first = context.quarantine_hosts[0]
+    first.writer.queue_changes([quarantine.Change(name, ENDS, True)])
+    assert first.writer.write_due()
     first.written.clear()
 
 
 @given('all know "{first}" and "{second}" from the store')
 def step_know(context: Any, first: str, second: str) -> None:
-    context.report = tables.CopyReport(
+    context.report = tables.RestoreReport(
         "t", 1, 2, 0, {first: ENDS, second: ENDS}, ()
     )
 
 
 @when("the store comes back without both")
 def step_without_both(context: Any) -> None:
-    for saver in context.savers:
-        saver.saver.note_copy(context.report, is_reader=True)
+    for host in context.quarantine_hosts:
+        host.writer.rewrite_lost(context.report, is_reader=True)
 
 
 @then('the first writes "{name}" at once')
 def step_at_once(context: Any, name: str) -> None:
-    for saver in context.savers:
-        saver.saver.write_waiting()
-    assert [s.written for s in context.savers] == [[name], [], []]
-    for saver in context.savers:
-        saver.saver.note_written(name)
+    for host in context.quarantine_hosts:
+        host.writer.write_due()
+    assert [h.written for h in context.quarantine_hosts] == [[name], [], []]
+    for host in context.quarantine_hosts:
+        host.writer.cancel_rewrite(name)
 
 
 @then('one of them has "{name}" written within {seconds:g} s')
 def step_written_by(context: Any, name: str, seconds: float) -> None:
     end_s = time.monotonic() + seconds
-    while not any(name in s.written for s in context.savers):
+    while not any(name in h.written for h in context.quarantine_hosts):
         assert time.monotonic() < end_s, name
-        for saver in context.savers:
-            saver.saver.write_waiting()
-            if name in saver.written:
+        for host in context.quarantine_hosts:
+            host.writer.write_due()
+            if name in host.written:
                 break
         time.sleep(0.02)
     # All hosts read it.
-    for saver in context.savers:
-        saver.saver.note_written(name)
+    for host in context.quarantine_hosts:
+        host.writer.cancel_rewrite(name)
 
 
 @then("what is seen written meanwhile is written by nobody else")
 def step_nobody_else(context: Any) -> None:
-    time.sleep(quarantined.REWRITE_S[1])
-    for saver in context.savers:
-        saver.saver.write_waiting()
-    written = [n for s in context.savers for n in s.written]
+    time.sleep(quarantined.REWRITE_DELAY_S[1])
+    for host in context.quarantine_hosts:
+        host.writer.write_due()
+    written = [n for h in context.quarantine_hosts for n in h.written]
     assert sorted(written) == ["f1", "f2"], written
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -368,14 +368,14 @@
             context.written.append((name, ends))
         return str(context.problem)
 
-    context.saver = quarantined.Saver(write, random.Random(7))
+    context.saver = quarantined.Writer(write, random.Random(7))
     context.change = quarantine.Change(crashes.FATAL, {"a": 3.0}, True)
-    context.saver.take([context.change])
+    context.saver.queue_changes([context.change])
 
 
 @when("it is tried while the store is away, and once more")
 def step_try(context: Any) -> None:
-    context.is_done = [context.saver.write_waiting() for _ in range(2)]
+    context.is_done = [context.saver.write_due() for _ in range(2)]
 
 
 @then("it is still to be written")
@@ -387,11 +387,11 @@
 @when("the store is back")
 def step_store_back(context: Any) -> None:
     context.problem = ""
-    assert context.saver.write_waiting()
+    assert context.saver.write_due()
 
 
 @then("it is written, and nothing is left")
 def step_written(context: Any) -> None:
     assert context.written == [(crashes.FATAL, {"a": 3.0})]
-    assert context.saver.write_waiting()
+    assert context.saver.write_due()
     assert len(context.written) == 1
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -208,7 +208,7 @@
     record_steps(context)
     context.sink = Sink()
     context.feed = feeds.Feed(
-        "test", Source(), context.sink, lambda: feeds.Pace(0.0, 0.01)
+        "test", Source(), context.sink, lambda: feeds.Timing(0.0, 0.01)
     )
 
 
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -37,7 +37,7 @@
         host,
         data_centre,
         store_age_s,
-        reading.Known(1, 7, store_age_s),
+        reading.ReadState(1, 7, store_age_s),
         {},
         {},
         (),
@@ -104,7 +104,7 @@
 def step_versions(context: Any, count: int, version: int) -> None:
     for i in range(count):
         news = make_news(f"10.1.{version}.{i + 1}", "kl-hall", 0.0)
-        known = reading.Known(version, 7, 0.5)
+        known = reading.ReadState(version, 7, 0.5)
         context.peers.note(attrs.evolve(news, known=known), 100.0)
 
 
@@ -124,12 +124,12 @@
 
 @given("a host with version {version:d}, digest {digest:d}, read {age:g} s ago")
 def step_known(context: Any, version: int, digest: int, age: float) -> None:
-    context.known = reading.Known(version, digest, age)
+    context.known = reading.ReadState(version, digest, age)
 
 
 @when("it hears of version {version:d}, digest {digest:d}, read {age:g} s ago")
 def step_told(context: Any, version: int, digest: int, age: float) -> None:
-    context.told = reading.Known(version, digest, age)
+    context.told = reading.ReadState(version, digest, age)
 
 
 @then('it reads "{what}"')
@@ -137,8 +137,8 @@
     due = [
         name
         for name, is_due in (
-            ("configuration", reading.is_config_due),
-            ("list", reading.is_list_due),
+            ("configuration", reading.is_config_stale),
+            ("list", reading.is_list_stale),
         )
         if is_due(context.known, context.told)
     ]
@@ -274,7 +274,7 @@
         "10.1.0.4",
         "kl-hall",
         0.25,
-        reading.Known(12, 345, 0.5),
+        reading.ReadState(12, 345, 0.5),
         {"i-1": jobs.Usage(3, 40500.0), "i-2": jobs.Usage(1, 900.0)},
         {"i-3": 4.0},
         ("i-4",),
