--- a/egretspur/catalog/upstreams.py
+++ b/egretspur/catalog/upstreams.py
@@ -143,7 +143,7 @@
     # entry fits, and no requests are sent yet.
     services: Mapping[str, config.Service] | None = None
     # Layers in the list of engines whose reported layers override it, by id.
-    listed: dict[str, Layers | None] = attrs.Factory(dict)
+    listed_layers: dict[str, Layers | None] = attrs.Factory(dict)
     # Id of the newest entry of each address, and of each name.
     by_address: dict[str, str] = attrs.Factory(dict)
     by_name: dict[str, str] = attrs.Factory(dict)
@@ -158,7 +158,7 @@
     draining: set[str] = attrs.Factory(set)
     # Layers that engines reported, and the monotonic time until which these
     # override the list, by id.
-    learned: dict[str, tuple[Layers, float]] = attrs.Factory(dict)
+    reported_layers: dict[str, tuple[Layers, float]] = attrs.Factory(dict)
     # Monotonic end of the grace period for missing entries.
     grace_until_s: float = 0.0
     # Incremented with each change of `entries`, to invalidate caches.
@@ -298,9 +298,9 @@
     """Adds or updates a valid entry, with reported layers and draining."""
     roster.by_address[entry.address] = entry.id
     roster.by_name[entry.name] = entry.id
-    layers, until_s = roster.learned.get(entry.id, (None, 0.0))
+    layers, until_s = roster.reported_layers.get(entry.id, (None, 0.0))
     if layers is not None and now_s < until_s:
-        roster.listed[entry.id] = entry.layers
+        roster.listed_layers[entry.id] = entry.layers
         entry = attrs.evolve(entry, layers=layers)
     if entry.is_draining:
         roster.draining.add(entry.id)
@@ -316,26 +316,26 @@
     roster.unreadable.discard(entry.id)
 
 
-def learn(
+def apply_reported_layers(
     roster: Roster, upstream_id: str, layers: Layers, now_s: float
 ) -> None:
     """Applies the layers that an engine reported, over those of its entry."""
     entry = roster.entries.get(upstream_id)
     if entry is None:
         return
-    roster.listed.setdefault(upstream_id, entry.layers)
-    roster.learned[upstream_id] = (layers, now_s + REPORTED_LAYERS_S)
+    roster.listed_layers.setdefault(upstream_id, entry.layers)
+    roster.reported_layers[upstream_id] = (layers, now_s + REPORTED_LAYERS_S)
     if entry.layers != layers:
         roster.entries[upstream_id] = attrs.evolve(entry, layers=layers)
         roster.changes += 1
 
 
-def get_listed(roster: Roster, upstream_id: str) -> Layers | None:
+def get_listed_layers(roster: Roster, upstream_id: str) -> Layers | None:
     """Returns the layers of an engine in the list, without its reports."""
     entry = roster.entries.get(upstream_id)
     if entry is None:
         return None
-    return roster.listed.get(upstream_id, entry.layers)
+    return roster.listed_layers.get(upstream_id, entry.layers)
 
 
 def note_restart(
@@ -429,11 +429,15 @@
     late = [i for i, due_s in roster.missing.items() if now_s >= due_s]
     for upstream_id in late:
         _remove(roster, upstream_id)
-    old = [i for i, (_, until_s) in roster.learned.items() if now_s >= until_s]
+    old = [
+        i
+        for i, (_, until_s) in roster.reported_layers.items()
+        if now_s >= until_s
+    ]
     for upstream_id in old:
-        del roster.learned[upstream_id]
+        del roster.reported_layers[upstream_id]
         entry = roster.entries[upstream_id]
-        layers = roster.listed.pop(upstream_id)
+        layers = roster.listed_layers.pop(upstream_id)
         roster.entries[upstream_id] = attrs.evolve(entry, layers=layers)
         roster.changes += 1
     return bool(late or old)
@@ -446,8 +450,8 @@
         _free_address(roster, entry)
         if roster.by_name.get(entry.name) == upstream_id:
             del roster.by_name[entry.name]
-    roster.learned.pop(upstream_id, None)
-    roster.listed.pop(upstream_id, None)
+    roster.reported_layers.pop(upstream_id, None)
+    roster.listed_layers.pop(upstream_id, None)
     roster.missing.pop(upstream_id, None)
     roster.unreadable.discard(upstream_id)
 
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -393,7 +393,7 @@
         roster = self.roster
         rows = []
         for entry in roster.entries.values():
-            layers = upstreams.get_listed(roster, entry.id)
+            layers = upstreams.get_listed_layers(roster, entry.id)
             held = f"{layers.first}-{layers.last}" if layers else "none"
             if entry.id in roster.unreadable:
                 # A host that has read the list anew does not know it at all.
--- a/egretspur/routing/moves.py
+++ b/egretspur/routing/moves.py
@@ -52,8 +52,10 @@
         self, upstream_id: str, layers: upstreams.Layers, now_s: float
     ) -> None:
         """Takes what an engine reported to hold."""
-        listed = upstreams.get_listed(self._roster, upstream_id)
-        upstreams.learn(self._roster, upstream_id, layers, now_s)
+        listed = upstreams.get_listed_layers(self._roster, upstream_id)
+        upstreams.apply_reported_layers(
+            self._roster, upstream_id, layers, now_s
+        )
         self._moved[upstream_id] = Moved(layers, now_s, True, listed)
 
     def hear(
@@ -69,7 +71,9 @@
             if own.at_s >= now_s - told.age_s:
                 return
             del self._moved[upstream_id]
-        upstreams.learn(self._roster, upstream_id, told.layers, now_s)
+        upstreams.apply_reported_layers(
+            self._roster, upstream_id, told.layers, now_s
+        )
 
     def list_told(
         self, kept_s: float, now_s: float
@@ -93,7 +97,9 @@
         }
         for upstream_id, moved in self._moved.items():
             if moved.is_reported:
-                upstreams.learn(self._roster, upstream_id, moved.layers, now_s)
+                upstreams.apply_reported_layers(
+                    self._roster, upstream_id, moved.layers, now_s
+                )
         return {
             i: upstreams.AgedLayers(m.layers, max(0.0, now_s - m.at_s))
             for i, m in self._moved.items()
@@ -110,5 +116,5 @@
         age_s = now_s - moved.at_s
         if not moved.is_reported:
             return age_s < LISTED_TOLD_S
-        listed = upstreams.get_listed(self._roster, upstream_id)
+        listed = upstreams.get_listed_layers(self._roster, upstream_id)
         return age_s < kept_s and listed == moved.listed
--- a/tests/steps/catalog_steps.py
+++ b/tests/steps/catalog_steps.py
@@ -132,7 +132,7 @@
 def step_reports(context: Any, layers: str, older: str) -> None:
     part = fleets.parse_layers(layers)
     assert part is not None
-    upstreams.learn(context.roster, "u", part, 10.0)
+    upstreams.apply_reported_layers(context.roster, "u", part, 10.0)
     step_entry(context, older, 0.5)
 
 
@@ -140,7 +140,7 @@
 def step_reports_only(context: Any, layers: str) -> None:
     part = fleets.parse_layers(layers)
     assert part is not None
-    upstreams.learn(context.roster, "u", part, 10.0)
+    upstreams.apply_reported_layers(context.roster, "u", part, 10.0)
 
 
 @then('it holds "{now}" until {kept:g} s later and "{then}" after {end:g} s')
