--- a/bench/duties.py
+++ b/bench/duties.py
@@ -136,7 +136,7 @@
                 "name": kind.name,
                 "size_mb": kind.memory_bytes / 1e6,
                 "pace": kind.pace,
-                "read_factor": kind.read_factor,
+                "read_factor": kind.prefill_factor,
             }
             for kind in fleets.ACCELERATORS.values()
         ],
--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -338,7 +338,9 @@
                     engine.accelerator.name,
                     held,
                 )
-                upstreams.put(state.fleet.roster, entry, self._timeline.now_s)
+                upstreams.put_entry(
+                    state.fleet.roster, entry, self._timeline.now_s
+                )
 
     def _is_known_dead(self, engine_id: str) -> bool:
         since_s = self._dead_since_s.get(engine_id)
@@ -369,7 +371,7 @@
         answer = max(3, min(591, int(self._rng.expovariate(1 / 203))))
         hint = max(3, int(answer * self._rng.lognormvariate(0.0, 0.5)))
         tokens = room.estimate_tokens(
-            prompt, 591, hint, self._spec.usual_answer
+            prompt, 591, hint, self._spec.typical_answer_tokens
         )
         self._outcome.asked += 1
         self._ask(
@@ -561,7 +563,7 @@
         """Moves requests off a dead engine, as the watch does."""
         now_s = self._timeline.now_s
         for state in self._brokers.values():
-            upstreams.drop(state.fleet.roster, engine.id, now_s)
+            upstreams.remove_entry(state.fleet.roster, engine.id, now_s)
         for run in list(engine.resident):
             req = self._requests.get(run.id)
             if req is None or req.run is not run:
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -253,6 +253,6 @@
     def _compute_read_s(self, engine: Engine, run: Run, read: int) -> float:
         """Returns the seconds of reading a piece of a prompt."""
         layers = engine.resident.get(run, 0)
-        seconds = read / self.spec.read_tokens_per_s
-        factor = engine.accelerator.read_factor * engine.pace
+        seconds = read / self.spec.prefill_tokens_per_s
+        factor = engine.accelerator.prefill_factor * engine.pace
         return seconds * factor * layers / self.spec.layers
--- a/egretspur/catalog/config.py
+++ b/egretspur/catalog/config.py
@@ -54,7 +54,7 @@
     # Latency objective: longest gap between two events, in seconds.
     gap_s: float
     # Silence after which the caller of a stream disconnects, in seconds.
-    patience_s: float = 2.0
+    caller_silence_s: float = 2.0
 
 
 @attrs.frozen
@@ -66,7 +66,7 @@
     # Factor on the duration of a decode step.
     pace: float
     # Factor on the duration of a prompt's prefill.
-    read_factor: float
+    prefill_factor: float
 
 
 @attrs.frozen
@@ -90,14 +90,14 @@
     # Added to a step for each token of context of each decoding request.
     per_token_s: float
     # Prefill throughput.
-    read_tokens_per_s: float
+    prefill_tokens_per_s: float
     # Decode steps of one pass.
     stride: int
     # Prompt tokens that one step prefills at most.
     chunk_tokens: int
     # Typical lengths in tokens.
-    usual_prompt: int
-    usual_answer: int
+    typical_prompt_tokens: int
+    typical_answer_tokens: int
     # Seconds to load all layers.
     load_s: float
     loads_at_once: int
@@ -173,12 +173,12 @@
 
 
 @attrs.define
-class Versions:
+class CurrentConfig:
     """The newest configuration that was read; its version never decreases."""
 
     newest: Configuration | None = None
 
-    def take(self, cfg: Configuration) -> bool:
+    def update(self, cfg: Configuration) -> bool:
         """Stores a configuration if it is newer; returns whether it was."""
         if self.newest is not None and not is_newer(cfg, self.newest):
             return False
--- a/egretspur/catalog/feeds.py
+++ b/egretspur/catalog/feeds.py
@@ -109,15 +109,15 @@
 class Sink(Protocol[T_contra]):
     """Receives what a feed reads."""
 
-    def take_whole(self, values: Mapping[str, T_contra | Unreadable]) -> None:
+    def replace_all(self, values: Mapping[str, T_contra | Unreadable]) -> None:
         """Replaces the known state by the newest one."""
 
-    def take_changes(
+    def apply_changes(
         self, values: tuple[tuple[str, T_contra | Unreadable | None], ...]
     ) -> None:
         """Applies changes, oldest first."""
 
-    def note_contact(self, is_back: bool) -> None:
+    def record_answer(self, is_back: bool) -> None:
         """Records an answer of the store.
 
         Args:
@@ -243,7 +243,7 @@
 
     def _record_answer(self) -> None:
         """Records that the store itself answered."""
-        self._sink.note_contact(self._outage_since_s is not None)
+        self._sink.record_answer(self._outage_since_s is not None)
         if self._outage_since_s is not None:
             away_s = time.monotonic() - self._outage_since_s
             decisions.record(decisions.StoreBack(self._name, away_s))
@@ -276,9 +276,9 @@
             _LOG.info(reason, extra={"feed": self._name})
             return None
         if isinstance(res, FullState):
-            self._sink.take_whole(res.values)
+            self._sink.replace_all(res.values)
         else:
-            self._sink.take_changes(res.values)
+            self._sink.apply_changes(res.values)
         return res.next
 
 
--- a/egretspur/catalog/quarantined.py
+++ b/egretspur/catalog/quarantined.py
@@ -70,13 +70,13 @@
         self._desk = to
         self._writer = writer
 
-    def take_whole(
+    def replace_all(
         self, values: Mapping[str, quarantine.Ends | feeds.Unreadable]
     ) -> None:
         """Restores all quarantined requests."""
         self._restore(tuple(values.items()))
 
-    def take_changes(
+    def apply_changes(
         self,
         values: tuple[
             tuple[str, quarantine.Ends | feeds.Unreadable | None], ...
@@ -101,7 +101,7 @@
         if kept:
             self._desk.tell(desk.Restore(kept))
 
-    def note_contact(self, is_back: bool) -> None:
+    def record_answer(self, is_back: bool) -> None:
         """Does nothing: no state depends on the time of the last answer."""
 
 
--- a/egretspur/catalog/upstreams.py
+++ b/egretspur/catalog/upstreams.py
@@ -136,9 +136,9 @@
     entries: dict[str, Upstream] = attrs.Factory(dict)
     # Newest decodable entry of each name, oldest first, whether or not it fits
     # the configuration.
-    offered: dict[str, Upstream] = attrs.Factory(dict)
+    newest_entries: dict[str, Upstream] = attrs.Factory(dict)
     # Field that does not fit the configuration, by name of the entry.
-    unfit: dict[str, str] = attrs.Factory(dict)
+    misfits: dict[str, str] = attrs.Factory(dict)
     # Services of the configuration in force. None before the first one: every
     # entry fits, and no requests are sent yet.
     services: Mapping[str, config.Service] | None = None
@@ -148,7 +148,7 @@
     by_address: dict[str, str] = attrs.Factory(dict)
     by_name: dict[str, str] = attrs.Factory(dict)
     # Unix time of the newest start of each name, in ms.
-    starts: dict[str, int] = attrs.Factory(dict)
+    newest_starts: dict[str, int] = attrs.Factory(dict)
     # Monotonic time at which to remove a missing entry, by id.
     missing: dict[str, float] = attrs.Factory(dict)
     # Ids whose newest record can't be read or does not fit; these get no
@@ -162,10 +162,10 @@
     # Monotonic end of the grace period for missing entries.
     grace_until_s: float = 0.0
     # Incremented with each change of `entries`, to invalidate caches.
-    changes: int = 0
+    revision: int = 0
 
 
-def note_return(roster: Roster, now_s: float) -> None:
+def start_grace(roster: Roster, now_s: float) -> None:
     """Starts the grace period: the store answers again after an outage."""
     roster.grace_until_s = now_s + OUTAGE_GRACE_S
 
@@ -176,11 +176,11 @@
     """Sets the services in force and checks all entries against them."""
     roster.services = services
     winners: dict[str, Upstream] = {}
-    for entry in roster.offered.values():
+    for entry in roster.newest_entries.values():
         if not _check_fit(roster, entry):
             # Recorded as the newest start before the services were known.
-            if roster.starts.get(entry.name) == entry.born_ms:
-                roster.starts.pop(entry.name, None)
+            if roster.newest_starts.get(entry.name) == entry.born_ms:
+                roster.newest_starts.pop(entry.name, None)
             continue
         rival = winners.get(entry.address)
         if rival is None or not _is_older(entry, rival):
@@ -193,7 +193,7 @@
             _update_entry(roster, entry, now_s)
 
 
-def outlasts_copy(known: Upstream, copied: Upstream) -> bool:
+def supersedes_restored(known: Upstream, copied: Upstream) -> bool:
     """Returns whether a known entry supersedes that of a restored store.
 
     The restored entry may be of an earlier start, or from before the upstream
@@ -205,7 +205,7 @@
     return _is_older(copied, known)
 
 
-def find_flaw(
+def find_misfit(
     entry: Upstream, services: Mapping[str, config.Service] | None
 ) -> str:
     """Returns the field of an entry that does not fit; empty if all do."""
@@ -224,7 +224,7 @@
     return ""
 
 
-def put(roster: Roster, entry: Upstream, now_s: float) -> None:
+def put_entry(roster: Roster, entry: Upstream, now_s: float) -> None:
     """Applies an entry that is newer than those before.
 
     It replaces the entry at its address: a restarted server may keep its
@@ -234,8 +234,8 @@
     if _is_of_older_start(roster, entry):
         # Delayed; a newer start has replaced it.
         return
-    roster.offered.pop(entry.name, None)
-    roster.offered[entry.name] = entry
+    roster.newest_entries.pop(entry.name, None)
+    roster.newest_entries[entry.name] = entry
     if not _check_fit(roster, entry):
         _suspend(roster, entry.name, now_s)
         return
@@ -253,11 +253,11 @@
 
 def _check_fit(roster: Roster, entry: Upstream) -> bool:
     """Returns whether an entry fits; records the field if it does not."""
-    flaw = find_flaw(entry, roster.services)
+    flaw = find_misfit(entry, roster.services)
     if flaw:
-        roster.unfit[entry.name] = flaw
+        roster.misfits[entry.name] = flaw
     else:
-        roster.unfit.pop(entry.name, None)
+        roster.misfits.pop(entry.name, None)
     return not flaw
 
 
@@ -267,7 +267,7 @@
     If a start time is known, an entry without one is of an earlier start, or
     was not written by the server.
     """
-    newest_ms = roster.starts.get(entry.name)
+    newest_ms = roster.newest_starts.get(entry.name)
     if newest_ms is None:
         return False
     return entry.born_ms is None or entry.born_ms < newest_ms
@@ -288,10 +288,10 @@
     if entry.born_ms is None:
         return
     # Reinserted as the newest; the oldest is evicted.
-    roster.starts.pop(entry.name, None)
-    roster.starts[entry.name] = entry.born_ms
-    if len(roster.starts) > MAX_STARTS:
-        del roster.starts[next(iter(roster.starts))]
+    roster.newest_starts.pop(entry.name, None)
+    roster.newest_starts[entry.name] = entry.born_ms
+    if len(roster.newest_starts) > MAX_STARTS:
+        del roster.newest_starts[next(iter(roster.newest_starts))]
 
 
 def _update_entry(roster: Roster, entry: Upstream, now_s: float) -> None:
@@ -311,7 +311,7 @@
         _free_address(roster, old)
     if old != entry:
         roster.entries[entry.id] = entry
-        roster.changes += 1
+        roster.revision += 1
     roster.missing.pop(entry.id, None)
     roster.unreadable.discard(entry.id)
 
@@ -327,7 +327,7 @@
     roster.reported_layers[upstream_id] = (layers, now_s + REPORTED_LAYERS_S)
     if entry.layers != layers:
         roster.entries[upstream_id] = attrs.evolve(entry, layers=layers)
-        roster.changes += 1
+        roster.revision += 1
 
 
 def get_listed_layers(roster: Roster, upstream_id: str) -> Layers | None:
@@ -338,7 +338,7 @@
     return roster.listed_layers.get(upstream_id, entry.layers)
 
 
-def note_restart(
+def apply_restart(
     roster: Roster, upstream_id: str, report: EngineReport, now_s: float
 ) -> bool:
     """Applies a report of an engine that restarted after its entry.
@@ -362,14 +362,14 @@
         is_draining=False,
         layers=report.layers,
     )
-    put(roster, again, now_s)
+    put_entry(roster, again, now_s)
     return True
 
 
-def drop(roster: Roster, name: str, now_s: float) -> None:
+def remove_entry(roster: Roster, name: str, now_s: float) -> None:
     """Removes an entry, after the grace period if one is running."""
-    roster.offered.pop(name, None)
-    roster.unfit.pop(name, None)
+    roster.newest_entries.pop(name, None)
+    roster.misfits.pop(name, None)
     upstream_id = roster.by_name.get(name)
     if upstream_id is None:
         return
@@ -388,7 +388,7 @@
     roster.missing.setdefault(upstream_id, now_s + UNREADABLE_GRACE_S)
 
 
-def change(
+def apply_record(
     roster: Roster,
     name: str,
     value: Upstream | feeds.Unreadable | None,
@@ -396,28 +396,30 @@
 ) -> None:
     """Applies the newest record under a name; None removes the entry."""
     if value is None:
-        drop(roster, name, now_s)
+        remove_entry(roster, name, now_s)
     elif isinstance(value, feeds.Unreadable):
-        roster.offered.pop(name, None)
-        roster.unfit.pop(name, None)
+        roster.newest_entries.pop(name, None)
+        roster.misfits.pop(name, None)
         _suspend(roster, name, now_s)
     else:
-        put(roster, value, now_s)
+        put_entry(roster, value, now_s)
 
 
-def replace(
+def replace_entries(
     roster: Roster,
     values: Mapping[str, Upstream | feeds.Unreadable],
     now_s: float,
 ) -> None:
     """Applies a full read of the list, by name."""
     for name, value in values.items():
-        change(roster, name, value, now_s)
-    for name in (set(roster.offered) | set(roster.by_name)) - set(values):
-        drop(roster, name, now_s)
+        apply_record(roster, name, value, now_s)
+    for name in (set(roster.newest_entries) | set(roster.by_name)) - set(
+        values
+    ):
+        remove_entry(roster, name, now_s)
 
 
-def expire(roster: Roster, now_s: float) -> bool:
+def expire_entries(roster: Roster, now_s: float) -> bool:
     """Removes missing entries and reported layers whose time is over.
 
     The layers in the list then apply again, even if the entry was not
@@ -439,14 +441,14 @@
         entry = roster.entries[upstream_id]
         layers = roster.listed_layers.pop(upstream_id)
         roster.entries[upstream_id] = attrs.evolve(entry, layers=layers)
-        roster.changes += 1
+        roster.revision += 1
     return bool(late or old)
 
 
 def _remove(roster: Roster, upstream_id: str) -> None:
     entry = roster.entries.pop(upstream_id, None)
     if entry is not None:
-        roster.changes += 1
+        roster.revision += 1
         _free_address(roster, entry)
         if roster.by_name.get(entry.name) == upstream_id:
             del roster.by_name[entry.name]
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -52,13 +52,13 @@
     def __init__(self, take: Callable[[config.Configuration], None]) -> None:
         self._take = take
 
-    def take_whole(
+    def replace_all(
         self, values: Mapping[str, config.Configuration | feeds.Unreadable]
     ) -> None:
         """Takes the newest configuration."""
-        self.take_changes(tuple(values.items()))
+        self.apply_changes(tuple(values.items()))
 
-    def take_changes(
+    def apply_changes(
         self,
         values: tuple[
             tuple[str, config.Configuration | feeds.Unreadable | None], ...
@@ -69,7 +69,7 @@
             if isinstance(cfg, config.Configuration):
                 self._take(cfg)
 
-    def note_contact(self, is_back: bool) -> None:
+    def record_answer(self, is_back: bool) -> None:
         """Nothing depends on when the configuration was last asked for."""
 
 
@@ -82,14 +82,14 @@
         # When the store itself last answered, on the monotonic clock.
         self.answered_s = -math.inf
 
-    def take_whole(
+    def replace_all(
         self, values: Mapping[str, upstreams.Upstream | feeds.Unreadable]
     ) -> None:
         """Takes the whole list."""
         self._desk.tell(desk.ReplaceUpstreams(values))
         self.has_list = True
 
-    def take_changes(
+    def apply_changes(
         self,
         values: tuple[
             tuple[str, upstreams.Upstream | feeds.Unreadable | None], ...
@@ -98,7 +98,7 @@
         """Takes changes."""
         self._desk.tell(desk.ChangeUpstreams(values))
 
-    def note_contact(self, is_back: bool) -> None:
+    def record_answer(self, is_back: bool) -> None:
         """Starts the grace for entries that lapsed during an outage."""
         self.answered_s = time.monotonic()
         self._desk.tell(desk.StoreAnswered(is_back))
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -143,7 +143,7 @@
         )
         self._duty = duty.Duty(group, self._exchange)
         self._keeper = ranges.RangeKeeper(self._duty, self._engines, self)
-        self._versions = config.Versions()
+        self._versions = config.CurrentConfig()
         # As it was last told to others.
         self._known = reading.ReadState(0, 0, math.inf)
         self._was_reader = False
@@ -226,7 +226,7 @@
 
     def configure(self, cfg: config.Configuration) -> None:
         """Puts a configuration in force, unless a newer one is."""
-        if not self._versions.take(cfg):
+        if not self._versions.update(cfg):
             return
         # Requests are made by the intake's version and sent by the broker's:
         # the broker must know a service before a request names it.
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -198,10 +198,10 @@
         return 0.0
     spec = service.engine
     return room.estimate_tokens(
-        inbound.prompt or spec.usual_prompt,
+        inbound.prompt or spec.typical_prompt_tokens,
         inbound.longest,
         inbound.estimate,
-        spec.usual_answer,
+        spec.typical_answer_tokens,
     )
 
 
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -350,4 +350,4 @@
 
 def _get_hopeless_s(stream: forward.Forward) -> float:
     """Returns how long a stream may be silent before it is ended."""
-    return HOPELESS_PART * stream.job.route.patience_s
+    return HOPELESS_PART * stream.job.route.caller_silence_s
--- a/egretspur/platform/decode.py
+++ b/egretspur/platform/decode.py
@@ -211,7 +211,7 @@
         is_public=data.get_flag("public"),
         is_resumable=data.get_flag("resumable"),
         gap_s=gap_s,
-        patience_s=max(
+        caller_silence_s=max(
             _PATIENCE_S,
             _PATIENCE_OBJECTIVES * objective_s,
             _PATIENCE_GAPS * gap_s,
@@ -252,11 +252,11 @@
         per_request_s=data.get_number("per_seq_ms") / 1000,
         # Stated for a thousand tokens.
         per_token_s=data.get_number("context_per_k") / 1e6,
-        read_tokens_per_s=data.get_number("read_per_s"),
+        prefill_tokens_per_s=data.get_number("read_per_s"),
         stride=data.get_count("stride", 1),
         chunk_tokens=data.get_count("chunk", _USUAL_CHUNK),
-        usual_prompt=int(usual.get_number("prompt")),
-        usual_answer=int(usual.get_number("answer")),
+        typical_prompt_tokens=int(usual.get_number("prompt")),
+        typical_answer_tokens=int(usual.get_number("answer")),
         load_s=model.get_number("load_s"),
         loads_at_once=data.get_count("loads_at_once", 1),
         accelerators={
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -385,7 +385,7 @@
         store,
         names.SERVERS_TOPIC,
         decode.decode_upstream,
-        tables.Policy(upstreams.outlasts_copy, lapse_s),
+        tables.Policy(upstreams.supersedes_restored, lapse_s),
         clock=clock,
     )
 
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -332,7 +332,7 @@
         """Takes the whole list of upstreams, by name."""
         self.listed_s = now_s
         with self.fleet.noting_changes(now_s):
-            upstreams.replace(self.fleet.roster, entries, now_s)
+            upstreams.replace_entries(self.fleet.roster, entries, now_s)
         return self.refresh(now_s)
 
     def change_list(
@@ -346,7 +346,7 @@
         self.listed_s = now_s
         with self.fleet.noting_changes(now_s):
             for name, entry in entries:
-                upstreams.change(self.fleet.roster, name, entry, now_s)
+                upstreams.apply_record(self.fleet.roster, name, entry, now_s)
         return self.refresh(now_s)
 
     def hear(self, news: fleets.PeerNews, now_s: float) -> None:
@@ -372,7 +372,7 @@
     def tick(self, now_s: float) -> list[jobs.Effect]:
         """Refuses what came due and starts what can."""
         with self.fleet.noting_changes(now_s):
-            upstreams.expire(self.fleet.roster, now_s)
+            upstreams.expire_entries(self.fleet.roster, now_s)
         self._crashes.settle(now_s)
         effects: list[jobs.Effect] = []
         for item in queues.expire(self.queue, now_s):
@@ -441,7 +441,7 @@
         hold_s = HOLD_PART * job.route.objective_s
         due_s = job.arrived_s + hold_s
         if ticket.is_begun:
-            due_s = now_s + RESUME_HOLD_PART * job.route.patience_s
+            due_s = now_s + RESUME_HOLD_PART * job.route.caller_silence_s
         elif ticket.runs or ticket.refusals:
             due_s = now_s + hold_s / 2
         item = queues.Waiting(
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -276,7 +276,7 @@
     def _(self, message: StoreAnswered) -> None:
         now_s = time.monotonic()
         if message.is_back:
-            upstreams.note_return(self._broker.fleet.roster, now_s)
+            upstreams.start_grace(self._broker.fleet.roster, now_s)
 
     @handle.register
     def _(self, message: Heard) -> None:
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -86,10 +86,10 @@
     @classmethod
     def make(cls, spec: config.EngineSpec) -> _StepCosts:
         """Returns the costs of a service's engines."""
-        context = spec.usual_prompt + spec.usual_answer / 2
+        context = spec.typical_prompt_tokens + spec.typical_answer_tokens / 2
         return cls(
             spec.per_request_s + spec.per_token_s * context,
-            spec.chunk_tokens / spec.read_tokens_per_s,
+            spec.chunk_tokens / spec.prefill_tokens_per_s,
         )
 
 
@@ -166,7 +166,7 @@
         upstream asks for changes; not where others tell of their requests.
         """
         return (
-            self.roster.changes
+            self.roster.revision
             + self.memory.releases
             + self.backpressure.changes
         )
@@ -261,11 +261,11 @@
         """
         before = dict(self.roster.entries)
         unreadable = set(self.roster.unreadable)
-        unfit = dict(self.roster.unfit)
-        changes = self.roster.changes
+        unfit = dict(self.roster.misfits)
+        changes = self.roster.revision
         yield
         self._note_strange(unfit, unreadable)
-        if self.roster.changes == changes:
+        if self.roster.revision == changes:
             return
         self._note_listed(
             [e for i, e in self.roster.entries.items() if i not in before]
@@ -301,7 +301,7 @@
         self, unfit: Mapping[str, str], unreadable: set[str]
     ) -> None:
         """Notes entries that have turned out to be no upstream's own."""
-        for name, field in self.roster.unfit.items():
+        for name, field in self.roster.misfits.items():
             if unfit.get(name) != field:
                 self.notes.append(
                     decisions.EntryLeftOut(
@@ -336,7 +336,7 @@
             self.note_probe(upstream_id, True, report.pace, now_s)
             return
         with self.noting_changes(now_s):
-            upstreams.note_restart(self.roster, upstream_id, report, now_s)
+            upstreams.apply_restart(self.roster, upstream_id, report, now_s)
         # Asked again if it still counts: the report was of an older start.
         self.health.note_unanswered(upstream_id)
 
@@ -440,8 +440,8 @@
         self, service: str
     ) -> Mapping[str, Sequence[upstreams.Upstream]]:
         """Returns a service's upstreams by data centre, in their order."""
-        if self._grouped_at != self.roster.changes:
-            self._grouped_at = self.roster.changes
+        if self._grouped_at != self.roster.revision:
+            self._grouped_at = self.roster.revision
             self._grouped.clear()
         groups = self._grouped.get(service)
         if groups is None:
@@ -467,7 +467,7 @@
         size = room.compute_size(spec, entry) * room.USABLE
         step_s = spec.step_s + usage.count * costs.request_s
         slow = self.paces.get(entry.id, now_s)
-        read_s = slow * kind.read_factor * costs.chunk_s
+        read_s = slow * kind.prefill_factor * costs.chunk_s
         pass_s = spec.stride * (step_s * kind.pace * slow + read_s)
         pace = kind.pace * slow * self.health.get_slowdown(entry.id, now_s)
         return paths.Card(
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -25,11 +25,11 @@
     step_s=0.00102,
     per_request_s=0.00001428,
     per_token_s=1.912e-8,
-    read_tokens_per_s=105_000,
+    prefill_tokens_per_s=105_000,
     stride=3,
     chunk_tokens=512,
-    usual_prompt=774,
-    usual_answer=203,
+    typical_prompt_tokens=774,
+    typical_answer_tokens=203,
     load_s=14.0,
     loads_at_once=5,
     accelerators=ACCELERATORS,
@@ -127,7 +127,7 @@
     state = broker.Broker("kl-hall", budget, random.Random(7))
     state.configure(make_config())
     for entry in entries:
-        upstreams.put(state.fleet.roster, entry, 0.0)
+        upstreams.put_entry(state.fleet.roster, entry, 0.0)
     return state
 
 
--- a/tests/routing/crashes.py
+++ b/tests/routing/crashes.py
@@ -97,7 +97,7 @@
         state = broker.Broker(place, fleets.BUDGET, random.Random(len(place)))
         state.configure(fleets.make_config())
         for entry in self.live.values():
-            upstreams.put(state.fleet.roster, entry, self.now_s)
+            upstreams.put_entry(state.fleet.roster, entry, self.now_s)
         host = peers.Host(f"10.0.0.{len(self.hosts) + 1}", place, state)
         self.hosts.append(host)
         self.read_store(host)
--- a/tests/routing/limits.py
+++ b/tests/routing/limits.py
@@ -109,7 +109,7 @@
         )
         state.configure(fleets.make_config(), self.now_s)
         for entry in self.entries.values():
-            upstreams.put(state.fleet.roster, entry, self.now_s)
+            upstreams.put_entry(state.fleet.roster, entry, self.now_s)
         return state
 
     def add_replicas(self, names: Collection[str]) -> None:
--- a/tests/steps/ablation_steps.py
+++ b/tests/steps/ablation_steps.py
@@ -69,7 +69,7 @@
         state = broker.Broker("kl-hall", fleets.BUDGET, random.Random(7), using)
         state.configure(fleets.make_config())
         for entry in entries:
-            upstreams.put(state.fleet.roster, entry, 0.0)
+            upstreams.put_entry(state.fleet.roster, entry, 0.0)
         context.brokers.append(state)
 
 
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -77,7 +77,7 @@
 def step_twin(context: Any, place: str) -> None:
     layers = {"first": "0-25", "second": "25-50"}[place]
     twin = fleets.make_upstream("a100-twin", layers)
-    upstreams.put(context.broker.fleet.roster, twin, context.now_s)
+    upstreams.put_entry(context.broker.fleet.roster, twin, context.now_s)
 
 
 @given("another host that has {tokens:d} tokens in flight there")
@@ -198,7 +198,7 @@
     arrive(context, "r", kind)
     roster = context.broker.fleet.roster
     for name in CHAIN:
-        upstreams.drop(roster, name, context.now_s)
+        upstreams.remove_entry(roster, name, context.now_s)
     failure = jobs.Failure("r", jobs.Why(why), "test")
     take(context, context.broker.fail(failure, context.now_s))
 
@@ -349,7 +349,7 @@
     # A second copy of the model, with another first engine.
     for name, layers in CHAIN.items():
         other = fleets.make_upstream(f"{name}-2", layers)
-        upstreams.put(context.broker.fleet.roster, other, context.now_s)
+        upstreams.put_entry(context.broker.fleet.roster, other, context.now_s)
     arrive(context, "r")
     first = context.started["r"].parts[0].id
     context.detour = context.broker.repath(
@@ -490,7 +490,7 @@
 @given("a chain of engines that lacks its last layers")
 def step_lacks(context: Any) -> None:
     make_chain(context)
-    upstreams.drop(context.broker.fleet.roster, "l40s-1", context.now_s)
+    upstreams.remove_entry(context.broker.fleet.roster, "l40s-1", context.now_s)
 
 
 @given(
@@ -505,7 +505,9 @@
             entry = attrs.evolve(entry, data_centre=place)
             if kind == "l40s" and entry.layers and entry.layers.count > 20:
                 entry = attrs.evolve(entry, accelerator="a100")
-            upstreams.put(context.broker.fleet.roster, entry, context.now_s)
+            upstreams.put_entry(
+                context.broker.fleet.roster, entry, context.now_s
+            )
 
 
 @given("a chain of engines in kl-hall and a slower one in pg-hall")
@@ -515,7 +517,7 @@
         entry = fleets.make_upstream(
             f"l40s-pg{i}", f"{20 * i}-{20 * i + 20}", "pg-hall"
         )
-        upstreams.put(context.broker.fleet.roster, entry, context.now_s)
+        upstreams.put_entry(context.broker.fleet.roster, entry, context.now_s)
 
 
 @when('engine "{name}" dies')
@@ -554,7 +556,7 @@
     roster = context.broker.fleet.roster
     for name, entry in list(roster.entries.items()):
         if entry.data_centre == place:
-            upstreams.drop(roster, name, context.now_s)
+            upstreams.remove_entry(roster, name, context.now_s)
 
 
 @then('requests go over "{place}"')
--- a/tests/steps/catalog_steps.py
+++ b/tests/steps/catalog_steps.py
@@ -68,18 +68,18 @@
     context.entry = attrs.evolve(
         fleets.make_upstream("l4-0", "0-20"), id=name, name=name
     )
-    upstreams.put(context.roster, context.entry, 10.0)
+    upstreams.put_entry(context.roster, context.entry, 10.0)
 
 
 @when('upstream "{other}" is listed at the address of "u"')
 def step_same_address(context: Any, other: str) -> None:
     entry = attrs.evolve(context.entry, id=other, name=other)
-    upstreams.put(context.roster, entry, 11.0)
+    upstreams.put_entry(context.roster, entry, 11.0)
 
 
 @when('the entry of "u" is removed')
 def step_removal(context: Any) -> None:
-    upstreams.drop(context.roster, "u", 12.0)
+    upstreams.remove_entry(context.roster, "u", 12.0)
 
 
 @then('only "{name}" is listed')
@@ -90,12 +90,12 @@
 @when("it is listed as draining")
 def step_draining(context: Any) -> None:
     entry = attrs.evolve(context.entry, is_draining=True)
-    upstreams.put(context.roster, entry, 10.0)
+    upstreams.put_entry(context.roster, entry, 10.0)
 
 
 @when("it is listed as ready again")
 def step_ready(context: Any) -> None:
-    upstreams.put(context.roster, context.entry, 10.0)
+    upstreams.put_entry(context.roster, context.entry, 10.0)
 
 
 @then("it is still draining")
@@ -105,22 +105,22 @@
 
 @when("the store returns and the entry is missing")
 def step_returns(context: Any) -> None:
-    upstreams.note_return(context.roster, 20.0)
-    upstreams.replace(context.roster, {}, 20.0)
+    upstreams.start_grace(context.roster, 20.0)
+    upstreams.replace_entries(context.roster, {}, 20.0)
 
 
 @then("it is kept for {kept:g} s and gone after {gone:g} s")
 def step_kept(context: Any, kept: float, gone: float) -> None:
-    upstreams.expire(context.roster, 20.0 + kept)
+    upstreams.expire_entries(context.roster, 20.0 + kept)
     assert "u" in context.roster.entries
-    upstreams.expire(context.roster, 20.0 + gone)
+    upstreams.expire_entries(context.roster, 20.0 + gone)
     assert "u" not in context.roster.entries
 
 
 @when("the entry is removed while the store is stable")
 def step_removed(context: Any) -> None:
-    upstreams.put(context.roster, context.entry, 30.0)
-    upstreams.drop(context.roster, "u", 30.0)
+    upstreams.put_entry(context.roster, context.entry, 30.0)
+    upstreams.remove_entry(context.roster, "u", 30.0)
 
 
 @then("it is gone at once")
@@ -147,16 +147,16 @@
 def step_holds_until(
     context: Any, now: str, kept: float, then: str, end: float
 ) -> None:
-    upstreams.expire(context.roster, 10.0 + kept)
+    upstreams.expire_entries(context.roster, 10.0 + kept)
     step_holds(context, now)
-    upstreams.expire(context.roster, 10.0 + end)
+    upstreams.expire_entries(context.roster, 10.0 + end)
     step_holds(context, then)
 
 
 @when('its entry says "{layers}" {seconds:g} s later')
 def step_entry(context: Any, layers: str, seconds: float) -> None:
     entry = attrs.evolve(context.entry, layers=fleets.parse_layers(layers))
-    upstreams.put(context.roster, entry, 10.0 + seconds)
+    upstreams.put_entry(context.roster, entry, 10.0 + seconds)
 
 
 @then('it holds "{layers}"')
@@ -191,11 +191,11 @@
     values: dict[str, str] = attrs.Factory(dict)
     contacts: list[bool] = attrs.Factory(list)
 
-    def take_whole(self, values: Mapping[str, Any]) -> None:
+    def replace_all(self, values: Mapping[str, Any]) -> None:
         """Takes the newest state."""
         self.values = dict(values)
 
-    def take_changes(self, values: tuple[tuple[str, Any], ...]) -> None:
+    def apply_changes(self, values: tuple[tuple[str, Any], ...]) -> None:
         """Takes changes."""
         for key, value in values:
             if value is None:
@@ -203,7 +203,7 @@
             else:
                 self.values[key] = value
 
-    def note_contact(self, is_back: bool) -> None:
+    def record_answer(self, is_back: bool) -> None:
         """Keeps what it was told."""
         self.contacts.append(is_back)
 
@@ -273,13 +273,13 @@
 
 @given("a host that has configuration {version:d} in force")
 def step_in_force(context: Any, version: int) -> None:
-    context.versions = config.Versions()
-    assert context.versions.take(fleets.make_config(version))
+    context.versions = config.CurrentConfig()
+    assert context.versions.update(fleets.make_config(version))
 
 
 @when("configuration {version:d} is read")
 def step_read(context: Any, version: int) -> None:
-    context.versions.take(fleets.make_config(version))
+    context.versions.update(fleets.make_config(version))
 
 
 @then("configuration {version:d} is in force")
--- a/tests/steps/fleetmodel_steps.py
+++ b/tests/steps/fleetmodel_steps.py
@@ -49,8 +49,8 @@
 def step_first(context: Any) -> None:
     spec = fleets.SPEC
     # Both stages together read the prompt once over all layers.
-    factor = spec.accelerators["a100"].read_factor
-    expected = context.prompt / spec.read_tokens_per_s * factor
+    factor = spec.accelerators["a100"].prefill_factor
+    expected = context.prompt / spec.prefill_tokens_per_s * factor
     first = context.events[0]
     assert expected <= first <= expected + 0.005, (expected, first)
 
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -313,14 +313,14 @@
     context.play.engines.stalled = "dark"
     # Another engine for the first layers, so that there is a path left.
     twin = fleets.make_upstream("a100-twin", "0-25")
-    upstreams.put(context.broker.fleet.roster, twin, 0.0)
+    upstreams.put_entry(context.broker.fleet.roster, twin, 0.0)
 
 
 @given('a twin of "{name}" at the desk')
 def step_desk_twin(context: Any, name: str) -> None:
     layers = broker_steps.CHAIN[name]
     twin = fleets.make_upstream("a100-twin", layers)
-    upstreams.put(context.broker.fleet.roster, twin, 0.0)
+    upstreams.put_entry(context.broker.fleet.roster, twin, 0.0)
 
 
 def make_forward(context: Any, kind: str, live_s: float) -> forward.Forward:
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -193,13 +193,13 @@
 
     def __init__(self) -> None:
         self.wholes = 0
-        self.take_changes = FailOnce()
+        self.apply_changes = FailOnce()
 
-    def take_whole(self, values: Any) -> None:
+    def replace_all(self, values: Any) -> None:
         """Takes a whole."""
         self.wholes += 1
 
-    def note_contact(self, is_back: bool) -> None:
+    def record_answer(self, is_back: bool) -> None:
         """Nothing to do."""
 
 
--- a/tests/steps/limits_steps.py
+++ b/tests/steps/limits_steps.py
@@ -252,8 +252,8 @@
     state = context.host.state
     item = state.queue.waiting[context.cut]
     assert item.is_begun
-    patience_s = state.tickets[context.cut].job.route.patience_s
-    assert item.deadline_s >= context.world.now_s + 0.5 * patience_s
+    silence_s = state.tickets[context.cut].job.route.caller_silence_s
+    assert item.deadline_s >= context.world.now_s + 0.5 * silence_s
 
 
 @when("one turns all away and asks for {backoff_s:g} s of rest")
--- a/tests/steps/ranges_orders_steps.py
+++ b/tests/steps/ranges_orders_steps.py
@@ -246,10 +246,9 @@
 @then("the host has learned the layers of every engine that was ordered")
 def step_learned(context: Any) -> None:
     ordered = {name for _, name, _ in context.fleet.given}
-    assert set(context.host.reported_layers) == ordered
+    assert set(context.host.learned) == ordered
     assert all(
-        context.host.reported_layers[n] == context.fleet.held[n]
-        for n in ordered
+        context.host.learned[n] == context.fleet.held[n] for n in ordered
     )
 
 
--- a/tests/steps/search_steps.py
+++ b/tests/steps/search_steps.py
@@ -183,7 +183,7 @@
             more = attrs.evolve(
                 entry, id=id_, name=id_, address=id_, data_centre=place
             )
-            upstreams.put(roster, more, 0.0)
+            upstreams.put_entry(roster, more, 0.0)
             # Twice as slow where one attempt in six failed of late.
             context.state.fleet.health.note_fault(id_, NOW_S)
 
--- a/tests/steps/silence_steps.py
+++ b/tests/steps/silence_steps.py
@@ -68,7 +68,7 @@
     context.play.watch = watch.StreamWatch(context.play.desk, engines)
     roster = context.broker.fleet.roster
     layers = broker_steps.CHAIN[name]
-    upstreams.put(roster, fleets.make_upstream("a100-twin", layers), 0.0)
+    upstreams.put_entry(roster, fleets.make_upstream("a100-twin", layers), 0.0)
     context.heard_s = time.monotonic()
     context.streams = []
     for i in range(count + more):
