--- a/egretspur/catalog/handover.py
+++ b/egretspur/catalog/handover.py
@@ -242,10 +242,10 @@
     """Returns whether another host has read further than `at`."""
     if since is None:
         return False
-    standing = positions.compare_eras(at.era, since.era)
-    if standing is positions.EraOrder.SAME:
+    order = positions.compare_eras(at.era, since.era)
+    if order is positions.EraOrder.SAME:
         return since.offset > at.offset
-    return standing is positions.EraOrder.NEWER
+    return order is positions.EraOrder.NEWER
 
 
 def pack_snapshot(snapshot: Snapshot, now_s: float) -> bytes:
--- a/egretspur/catalog/positions.py
+++ b/egretspur/catalog/positions.py
@@ -56,7 +56,7 @@
         caller must drop it.
         """
         with self._lock:
-            standing = compare_eras(self.newest, era)
-            if standing is EraOrder.NEWER:
+            order = compare_eras(self.newest, era)
+            if order is EraOrder.NEWER:
                 self.newest = era
-            return standing
+            return order
--- a/egretspur/catalog/quarantined.py
+++ b/egretspur/catalog/quarantined.py
@@ -176,8 +176,8 @@
         """Cancels a delayed rewrite, since the store has the record."""
         now_s = time.monotonic()
         with self._lock:
-            waiting = self._pending.get(fingerprint)
-            if waiting is not None and waiting.due_s > now_s:
+            pending = self._pending.get(fingerprint)
+            if pending is not None and pending.due_s > now_s:
                 del self._pending[fingerprint]
 
     def _queue(
@@ -210,11 +210,9 @@
         """Writes what is due; returns whether all writes succeeded."""
         now_s = time.monotonic()
         with self._lock:
-            waiting = [
-                w.change for w in self._pending.values() if now_s >= w.due_s
-            ]
+            due = [w.change for w in self._pending.values() if now_s >= w.due_s]
         is_done = True
-        for change in waiting:
+        for change in due:
             problem = self._write(change.fingerprint, change.ends)
             decisions.record(
                 decisions.QuarantineSaved(
@@ -223,11 +221,11 @@
             )
             is_done = is_done and not problem
             if not problem:
-                self._remove_written(change, now_s)
+                self._record_written(change, now_s)
         return is_done
 
-    def _remove_written(self, change: quarantine.Change, now_s: float) -> None:
-        """Removes a written change, unless a newer one replaced it."""
+    def _record_written(self, change: quarantine.Change, now_s: float) -> None:
+        """Records a written change; ends its pending write unless replaced."""
         with self._lock:
             self._written = {
                 f: (c, at_s)
@@ -235,6 +233,6 @@
                 if now_s - at_s < RESTORE_WINDOW_S
             }
             self._written[change.fingerprint] = (change, now_s)
-            waiting = self._pending.get(change.fingerprint)
-            if waiting is not None and waiting.change is change:
+            pending = self._pending.get(change.fingerprint)
+            if pending is not None and pending.change is change:
                 del self._pending[change.fingerprint]
--- a/egretspur/catalog/reading.py
+++ b/egretspur/catalog/reading.py
@@ -71,8 +71,8 @@
 
     Hosts that the store refuses detect a restore in this way.
     """
-    standing = positions.compare_eras(mine.era, other.era)
-    return standing is positions.EraOrder.NEWER
+    order = positions.compare_eras(mine.era, other.era)
+    return order is positions.EraOrder.NEWER
 
 
 def is_list_stale(mine: ReadState, other: ReadState) -> bool:
--- a/egretspur/catalog/tables.py
+++ b/egretspur/catalog/tables.py
@@ -97,9 +97,7 @@
         # Ignored records of keys that have no known value.
         self._withheld: dict[str, DecodedRecord[T]] = {}
         # Called after the first read of the topic from a restored store.
-        self.on_restore: Callable[[RestoreReport[T]], None] = lambda report: (
-            None
-        )
+        self.on_restore: Callable[[RestoreReport[T]], None] = lambda r: None
 
     def get_value(self, key: str) -> Value[T] | None:
         """Returns the value of a key; None if it has none."""
@@ -115,14 +113,14 @@
 
     def replace(
         self,
-        reads: Sequence[DecodedRecord[T]],
+        records: Sequence[DecodedRecord[T]],
         at: positions.Position,
         merge_info: handover.MergeInfo | None = None,
     ) -> dict[str, Value[T]]:
         """Merges a full read of the topic.
 
         Args:
-            reads: The newest record of each key, oldest first.
+            records: The newest record of each key, oldest first.
             at: Position from which to read changes.
             merge_info: Sent by the other host beside the records; None if
                 they were read from the store.
@@ -131,48 +129,48 @@
             The values after the merge, by key.
         """
         before = self._newest.position
-        fresh = {r.record.key: r for r in reads}
-        before_copy = before if before and before.era != at.era else None
-        if before_copy is not None:
+        fresh = {r.record.key: r for r in records}
+        previous = before if before and before.era != at.era else None
+        if previous is not None:
             self._overrides = self._find_surviving(fresh, merge_info)
             self._overrides.update(
-                self._find_removed(fresh, before_copy.offset, merge_info)
+                self._find_removed(fresh, previous.offset, merge_info)
             )
         else:
             self._drop_ended_overrides(fresh)
         merge_info = merge_info or handover.NO_MERGE_INFO
         self._overrides.update(merge_info.overrides)
         known = [
-            read
+            decoded
             for key in {**self._overrides, **fresh}
-            if (read := self._resolve(key, fresh, merge_info)) is not None
+            if (decoded := self._resolve(key, fresh, merge_info)) is not None
         ]
         self._replace_all(known, at, merge_info.removed)
         self._withheld = {
-            key: read
-            for key, read in fresh.items()
+            key: decoded
+            for key, decoded in fresh.items()
             if key in self._overrides and key not in self._values
         }
-        if before_copy is not None:
-            self._report(before_copy.era, at.era, len(fresh))
+        if previous is not None:
+            self._report_restore(previous.era, at.era, len(fresh))
         return dict(self._values)
 
-    def change(
-        self, reads: Sequence[DecodedRecord[T]], at: positions.Position
+    def apply_changes(
+        self, records: Sequence[DecodedRecord[T]], at: positions.Position
     ) -> Changed[T]:
         """Applies records written since the last read, oldest first.
 
         Args:
-            reads: The records.
+            records: The records.
             at: Position after them.
 
         Returns:
             The changes, including keys whose override has expired.
         """
         changes: list[tuple[str, Value[T] | None]] = []
-        for read in reads:
-            record, value = read.record, read.value
-            if self._policy.is_monotonic and self._is_superseded(read):
+        for decoded in records:
+            record, value = decoded.record, decoded.value
+            if self._policy.is_monotonic and self._is_superseded(decoded):
                 self._overrides[record.key] = handover.Override(record.offset)
                 continue
             is_rewritten = self._overrides.pop(record.key, None) is not None
@@ -187,22 +185,22 @@
                     self._newest.put(record)
                 self._values[record.key] = value
             changes.append((record.key, value))
-        changes += self._expire(at)
+        changes += self._expire_overrides(at)
         self._newest.advance(at, self._overrides)
         return tuple(changes)
 
-    def _is_superseded(self, read: DecodedRecord[T]) -> bool:
+    def _is_superseded(self, decoded: DecodedRecord[T]) -> bool:
         """Returns whether the known value of its key supersedes a record."""
-        known = self._values.get(read.record.key)
-        return known is not None and self._supersedes(known, read.value)
+        known = self._values.get(decoded.record.key)
+        return known is not None and self._supersedes(known, decoded.value)
 
     def _drop_ended_overrides(
         self, fresh: Mapping[str, DecodedRecord[T]]
     ) -> None:
         """Removes overrides of keys of which a later record was read."""
         for key, override in list(self._overrides.items()):
-            read = fresh.get(key)
-            if read is not None and not override.ignores(read.record):
+            decoded = fresh.get(key)
+            if decoded is not None and not override.ignores(decoded.record):
                 del self._overrides[key]
 
     def _find_surviving(
@@ -215,12 +213,12 @@
         kept_until_s = self._clock() + self._policy.keep_missing_s
         removed = merge_info.removed if merge_info else ()
         for key, value in self._values.items():
-            read = fresh.get(key)
-            if read is None:
+            decoded = fresh.get(key)
+            if decoded is None:
                 if key not in removed:
                     found[key] = handover.Override(None, kept_until_s)
-            elif self._supersedes(value, read.value):
-                found[key] = handover.Override(read.record.offset)
+            elif self._supersedes(value, decoded.value):
+                found[key] = handover.Override(decoded.record.offset)
         return found
 
     def _find_removed(
@@ -239,11 +237,11 @@
         kept = merge_info.overrides if merge_info else {}
         until_s = self._clock() + WITHHELD_S
         return {
-            key: handover.Override(read.record.offset, until_s)
-            for key, read in fresh.items()
+            key: handover.Override(decoded.record.offset, until_s)
+            for key, decoded in fresh.items()
             if key not in self._values
             and key not in kept
-            and read.record.offset < read_up_to
+            and decoded.record.offset < read_up_to
         }
 
     def _supersedes(self, known: Value[T], copied: Value[T] | None) -> bool:
@@ -307,29 +305,29 @@
             [r.record for r in ordered], at, gone, self._overrides
         )
 
-    def _report(self, before: int, era: int, read: int) -> None:
+    def _report_restore(self, previous_era: int, era: int, read: int) -> None:
         kept = {
             k: self._values[k] for k in self._overrides if k in self._values
         }
         withheld = tuple(k for k in self._overrides if k not in kept)
         self.on_restore(
-            RestoreReport(self._name, before, era, read, kept, withheld)
+            RestoreReport(self._name, previous_era, era, read, kept, withheld)
         )
 
-    def _expire(self, at: positions.Position) -> Changed[T]:
+    def _expire_overrides(self, at: positions.Position) -> Changed[T]:
         """Ends overrides whose time is over; returns the changes."""
         now_s = self._clock()
         late = [k for k, o in self._overrides.items() if now_s >= o.until_s]
         changes: list[tuple[str, Value[T] | None]] = []
         for key in late:
             del self._overrides[key]
-            read = self._withheld.pop(key, None)
-            if read is None or read.value is None:
+            decoded = self._withheld.pop(key, None)
+            if decoded is None or decoded.value is None:
                 self._values.pop(key, None)
                 self._newest.put(handover.Record(at.offset, key, b""))
                 changes.append((key, None))
             else:
-                self._values[key] = read.value
-                self._newest.put(read.record)
-                changes.append((key, read.value))
+                self._values[key] = decoded.value
+                self._newest.put(decoded.record)
+                changes.append((key, decoded.value))
         return tuple(changes)
--- a/egretspur/catalog/upstreams.py
+++ b/egretspur/catalog/upstreams.py
@@ -253,12 +253,12 @@
 
 def _check_fit(roster: Roster, entry: Upstream) -> bool:
     """Returns whether an entry fits; records the field if it does not."""
-    flaw = find_misfit(entry, roster.services)
-    if flaw:
-        roster.misfits[entry.name] = flaw
+    field = find_misfit(entry, roster.services)
+    if field:
+        roster.misfits[entry.name] = field
     else:
         roster.misfits.pop(entry.name, None)
-    return not flaw
+    return not field
 
 
 def _is_of_older_start(roster: Roster, entry: Upstream) -> bool:
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -217,7 +217,9 @@
             for i, r in enumerate(raw)
         ]
         at = positions.Position(era, first + len(records))
-        return feeds.Changes(self.table.change(self._read(records), at), at)
+        return feeds.Changes(
+            self.table.apply_changes(self._read(records), at), at
+        )
 
     def export(self, since: positions.Position | None) -> bytes | None:
         """Returns what another host misses that has read up to a position."""
@@ -237,7 +239,9 @@
                 return feeds.Unavailable("snapshot of before the store's copy")
         if found.is_full:
             return self._take_whole(found.records, found.next, found.merge_info)
-        changes = self.table.change(self._read(found.records), found.next)
+        changes = self.table.apply_changes(
+            self._read(found.records), found.next
+        )
         return feeds.Changes(changes, found.next, is_from_peer=True)
 
     def _take_whole(
--- a/tests/catalog/catalog.feature
+++ b/tests/catalog/catalog.feature
@@ -73,7 +73,7 @@
     Given a feed whose source fails 6 times
     When it runs until the source answers
     Then its pauses grow from 0.1 s to at most 1 s
-    And the sink is told that the source is back
+    And the sink records that the source is back
 
   Scenario: An older configuration
     # Guards against a removed route that works again: a delayed read returns an
--- a/tests/steps/catalog_steps.py
+++ b/tests/steps/catalog_steps.py
@@ -204,7 +204,7 @@
                 self.values[key] = value
 
     def record_answer(self, is_back: bool) -> None:
-        """Keeps what it was told."""
+        """Keeps whether the source is back."""
         self.contacts.append(is_back)
 
 
@@ -266,7 +266,7 @@
     assert max(pauses) <= high and pauses[-1] > 2 * pauses[0], pauses
 
 
-@then("the sink is told that the source is back")
+@then("the sink records that the source is back")
 def step_back(context: Any) -> None:
     assert context.sink.contacts == [True], context.sink.contacts
 
