--- a/tests/catalog/catalog.feature
+++ b/tests/catalog/catalog.feature
@@ -55,8 +55,8 @@
     Then it holds "0-20"
 
   Scenario: Reported layers expire
-    # Guards against requests to layers that an engine never holds again: it
-    # restarts after its report, and its entry is not rewritten, since its
+    # Guards against endless requests to layers that an engine no longer holds:
+    # it restarts after its report, and its entry is not rewritten, since its
     # value is the same as before.
     Given an upstream "u" that is listed
     When it reports layers "20-31"
