--- a/egretspur/catalog/handover.py
+++ b/egretspur/catalog/handover.py
@@ -1,13 +1,14 @@
-"""State from other hosts, in place of the store or when it does not answer.
+"""Reads topics from other hosts, before the store or when it fails.
 
-One host of a data centre reads the list of upstreams for all of it; the others
-ask that host for what they miss. Were each to read the store, its calls would
-grow with the hosts and the changes: a few hundred hosts read a list that
-changes some times a second.
+One host of each data centre, the reader, reads the list of upstreams from the
+store; the others fetch what they lack from it. If each host read the store, the
+number of calls would grow with hosts times changes: a few hundred hosts follow
+a list that changes several times a second.
 
-A host that is restarted or turned away while the store is in trouble would
-refuse every caller, or serve by an old configuration, while its neighbours
-serve well. It asks them as well.
+A host that restarts during an outage of the store, or whose calls the store
+refuses, would otherwise refuse every caller or serve an old configuration while
+other hosts have the current one. It fetches that from them. Read next:
+`egretspur.catalog.tables`.
 """
 
 from __future__ import annotations
@@ -27,101 +28,104 @@
 
 T = TypeVar("T")
 
-# Hosts that are asked before giving up; each may take a time-out.
-HOSTS_ASKED: Final = 3
+# Hosts called for one read; each call may take a full time-out.
+MAX_HOSTS_CALLED: Final = 3
 
+# zlib level of snapshots. A configuration of 1,640 routes has some hundred
+# kilobytes, and a tenth of that compressed; hosts have links of 10 Mbit/s.
+COMPRESSION_LEVEL: Final = 1
 
-# How hard snapshots are compressed. A configuration of 1,640 routes is some
-# hundred kilobytes, a tenth of it compressed; hosts have links of 10 Mbit/s.
-PACK_LEVEL: Final = 1
-
-# Bytes that a snapshot may have once it is unpacked: many times the largest
+# Maximum size of a decompressed snapshot in bytes: many times the largest
 # configuration, and a fraction of a small host's memory.
-MOST_UNPACKED: Final = 32 * 2**20
+MAX_UNPACKED_BYTES: Final = 32 * 2**20
 
-# Keys that were dropped of late, for hosts that have read up to an earlier
-# offset; those that have read less are handed everything. Without a bound each
-# start of an upstream would leave a key for good.
-DROPPED_KEPT: Final = 256
+# Tombstones kept for hosts that are behind; a host that is further behind gets
+# a full snapshot. Without a limit each start of an upstream would leave one for
+# good.
+MAX_TOMBSTONES: Final = 256
 
 
 @attrs.frozen
 class Record:
-    """A record of a topic as the store has it."""
+    """A record of a topic as stored."""
 
     offset: int
     key: str
-    # Empty where the record drops its key.
+    # Empty in a tombstone, which removes the key.
     raw: bytes
 
 
 @attrs.frozen
-class Overruled:
-    """A key of which the record that a copy of the store has doesn't count."""
+class Override:
+    """Ignores the record that a restored store has of a key.
+
+    The state known before the restore is used instead.
+    """
 
-    # Of that record, or an earlier one; None if the copy lacks the key.
+    # Records of the key up to this offset are ignored; None if the restored
+    # store lacks the key.
     offset: int | None
-    # Monotonic time until which what was known of the key counts instead.
+    # Monotonic time at which the override ends.
     until_s: float = math.inf
 
-    def covers(self, record: Record) -> bool:
-        """Tells whether a record is the one that doesn't count."""
+    def ignores(self, record: Record) -> bool:
+        """Returns whether a record is ignored."""
         return self.offset is not None and record.offset <= self.offset
 
 
 @attrs.frozen
-class Told:
-    """What a host hands over beside the newest records."""
+class MergeInfo:
+    """What a full snapshot contains beside the newest records."""
 
-    # Keys that were removed of late.
-    dropped: tuple[str, ...] = ()
-    overruled: Mapping[str, Overruled] = attrs.Factory(dict)
+    # Recently removed keys.
+    removed: tuple[str, ...] = ()
+    overrides: Mapping[str, Override] = attrs.Factory(dict)
 
 
-NOTHING_TOLD: Final = Told()
+NO_MERGE_INFO: Final = MergeInfo()
 
 
 @attrs.frozen
 class Snapshot:
-    """What a host hands to another."""
+    """State of a topic that one host sends to another."""
 
     # Oldest first.
     records: tuple[Record, ...]
-    # From where the store's records are to be read.
+    # Position from which to read the store.
     next: positions.Position
-    # These are all keys; else what changed since the position asked for.
-    is_whole: bool
-    told: Told = NOTHING_TOLD
+    # True for all keys, False for the changes since the requested position.
+    is_full: bool
+    merge_info: MergeInfo = NO_MERGE_INFO
 
 
-class Newest:
-    """The newest record of each key; used by several threads.
+class NewestRecords:
+    """The newest record of each key; thread-safe.
 
-    A record that says what the one before it said is not put: of a hundred
-    entries that are written anew every second, those that changed are few.
+    The caller leaves out records that repeat the value before: of a hundred
+    entries rewritten every second, only a few change.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        # Removed keys too, as records without a value.
+        # Includes tombstones.
         self._records: dict[str, Record] = {}
-        # Since this offset every key that was dropped is still known.
+        # All tombstones from this offset on are kept.
         self._complete_from = 0
         self.position: positions.Position | None = None
-        self._overruled: Mapping[str, Overruled] = {}
-        # What was handed over since the last change, by the position asked
-        # for: after a change many hosts ask for the same.
+        self._overrides: Mapping[str, Override] = {}
+        # Snapshots packed since the last change, by requested position: after
+        # a change many hosts request the same one.
         self._packed: dict[positions.Position | None, bytes] = {}
 
     def get(self, key: str) -> Record | None:
-        """Returns the newest record of a key; None if it was removed."""
+        """Returns the newest record of a key; None if it has no value."""
         with self._lock:
             record = self._records.get(key)
         return record if record is not None and record.raw else None
 
-    def list_dropped(self) -> tuple[str, ...]:
-        """Returns the keys that were removed of late."""
+    def list_removed(self) -> tuple[str, ...]:
+        """Returns the recently removed keys."""
         with self._lock:
             return tuple(k for k, r in self._records.items() if not r.raw)
 
@@ -129,51 +133,51 @@
         self,
         records: Iterable[Record],
         position: positions.Position,
-        dropped: Collection[str] = (),
-        overruled: Mapping[str, Overruled] | None = None,
+        removed: Collection[str] = (),
+        overrides: Mapping[str, Override] | None = None,
     ) -> None:
-        """Takes all keys, read anew.
+        """Replaces all records by those of a full read.
 
         Args:
-            records: Their newest records.
-            position: Up to where they were read.
-            dropped: Keys that are known to have been removed.
-            overruled: Keys whose record at the store doesn't count.
+            records: The newest record of each key.
+            position: Position up to which they were read.
+            removed: Keys known to be removed.
+            overrides: Overrides by key.
         """
         with self._lock:
-            self._records = {k: Record(0, k, b"") for k in dropped}
+            self._records = {k: Record(0, k, b"") for k in removed}
             self._records.update((r.key, r) for r in records)
             self._complete_from = position.offset
             self.position = position
-            self._overruled = dict(overruled or {})
+            self._overrides = dict(overrides or {})
             self._packed.clear()
 
     def put(self, record: Record) -> None:
-        """Takes a record that changes what its key says, or drops it."""
+        """Stores a record that changes its key's value or removes the key."""
         with self._lock:
             self._packed.clear()
-            # Dropped ones are in the order of their offsets.
+            # Reinserted, so that tombstones are ordered by offset.
             self._records.pop(record.key, None)
             self._records[record.key] = record
             if not record.raw:
-                self._forget_oldest_drop()
+                self._evict_oldest_tombstone()
 
-    def _forget_oldest_drop(self) -> None:
-        dropped = [r for r in self._records.values() if not r.raw]
-        if len(dropped) > DROPPED_KEPT:
-            oldest = dropped[0]
+    def _evict_oldest_tombstone(self) -> None:
+        tombstones = [r for r in self._records.values() if not r.raw]
+        if len(tombstones) > MAX_TOMBSTONES:
+            oldest = tombstones[0]
             del self._records[oldest.key]
             self._complete_from = max(self._complete_from, oldest.offset + 1)
 
-    def move_on(
+    def advance(
         self,
         position: positions.Position,
-        overruled: Mapping[str, Overruled] | None = None,
+        overrides: Mapping[str, Override] | None = None,
     ) -> None:
-        """Takes that all records before a position were read."""
+        """Sets the position if it is newer, and the overrides if given."""
         with self._lock:
-            if overruled is not None and overruled != self._overruled:
-                self._overruled = dict(overruled)
+            if overrides is not None and overrides != self._overrides:
+                self._overrides = dict(overrides)
                 self._packed.clear()
             known = self.position
             if known is None or position.offset > known.offset:
@@ -181,7 +185,7 @@
                 self._packed.clear()
 
     def pack_since(self, since: positions.Position | None) -> bytes | None:
-        """Returns what a host misses, packed; see `list_since`."""
+        """Returns the packed snapshot for a host; see `list_since`."""
         with self._lock:
             known = self._packed.get(since)
         if known is not None:
@@ -191,103 +195,103 @@
             return None
         data = pack_snapshot(found, self._clock())
         with self._lock:
-            # Unless the topic has moved on meanwhile. What is overruled for a
-            # while is told with the time that is left.
-            if found.next == self.position and not self._overruled:
+            # Not cached if the topic changed meanwhile, nor with overrides,
+            # whose remaining time is part of the data.
+            if found.next == self.position and not self._overrides:
                 self._packed[since] = data
         return data
 
     def list_since(self, since: positions.Position | None) -> Snapshot | None:
-        """Returns what a host misses that has read up to a position.
+        """Returns the snapshot for a host that has read up to a position.
 
-        A host that has read from the store before its last copy is handed
-        everything, and so is any while some of the copy's records don't count:
-        it may have taken them from the store.
+        The snapshot is full if the host last read the store before a restore,
+        or while there are overrides: the host may have read the records that
+        they ignore from the store.
 
         Args:
-            since: None for a host that knows nothing.
+            since: None for a host that has read nothing.
 
         Returns:
-            None if nothing was read yet, or the other one has read more.
+            None if nothing was read yet, or the other host has read more.
         """
         with self._lock:
             at = self.position
             if at is None or _is_ahead(since, at):
                 return None
-            is_whole = (
+            is_full = (
                 since is None
                 or since.era != at.era
                 or since.offset < self._complete_from
-                or bool(self._overruled)
+                or bool(self._overrides)
             )
             found = [
                 r
                 for r in self._records.values()
-                if (r.raw if is_whole else since and r.offset >= since.offset)
+                if (r.raw if is_full else since and r.offset >= since.offset)
             ]
             found.sort(key=lambda r: r.offset)
-            if not is_whole:
+            if not is_full:
                 return Snapshot(tuple(found), at, False)
-            dropped = tuple(k for k, r in self._records.items() if not r.raw)
+            removed = tuple(k for k, r in self._records.items() if not r.raw)
             return Snapshot(
-                tuple(found), at, True, Told(dropped, self._overruled)
+                tuple(found), at, True, MergeInfo(removed, self._overrides)
             )
 
 
 def _is_ahead(since: positions.Position | None, at: positions.Position) -> bool:
-    """Tells whether a reader has read more than is known up to a position."""
+    """Returns whether another host has read further than `at`."""
     if since is None:
         return False
-    standing = positions.compare_eras(at.era, since.era)
-    if standing is positions.Standing.SAME:
+    order = positions.compare_eras(at.era, since.era)
+    if order is positions.EraOrder.SAME:
         return since.offset > at.offset
-    return standing is positions.Standing.NEWER
+    return order is positions.EraOrder.NEWER
 
 
 def pack_snapshot(snapshot: Snapshot, now_s: float) -> bytes:
     """Returns a snapshot as compressed JSON, given the monotonic time."""
     rows = [
-        # Each byte as a character: base64 would hide what repeats.
+        # One character per byte: base64 would compress worse.
         [r.offset, r.key, r.raw.decode("latin-1")]
         for r in snapshot.records
     ]
-    overruled = [
+    overrides = [
         [key, o.offset, None if math.isinf(o.until_s) else o.until_s - now_s]
-        for key, o in snapshot.told.overruled.items()
+        for key, o in snapshot.merge_info.overrides.items()
     ]
     at = snapshot.next
     data = orjson.dumps(
         [
             [at.era, at.offset],
-            snapshot.is_whole,
+            snapshot.is_full,
             rows,
-            snapshot.told.dropped,
-            overruled,
+            snapshot.merge_info.removed,
+            overrides,
         ]
     )
-    return zlib.compress(data, PACK_LEVEL)
+    return zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def unpack_snapshot(data: bytes, now_s: float) -> Snapshot | feeds.Unavailable:
     """Returns a snapshot from compressed JSON, or why it can't be read.
 
     Args:
-        data: What another host packed.
+        data: Packed by another host; not trusted.
         now_s: Monotonic time.
     """
     try:
-        unpacking = zlib.decompressobj()
-        raw = unpacking.decompress(data, MOST_UNPACKED)
-        if not unpacking.eof:
-            return feeds.Unavailable("snapshot too large, or cut short")
+        decompressor = zlib.decompressobj()
+        raw = decompressor.decompress(data, MAX_UNPACKED_BYTES)
+        if not decompressor.eof:
+            return feeds.Unavailable("snapshot truncated or too large")
         return _read_snapshot(codec.load_json(raw), now_s)
     except (codec.DecodeError, TypeError, ValueError, zlib.error) as exc:
-        return feeds.Unavailable(f"snapshot not understood: {exc!r}")
+        return feeds.Unavailable(f"malformed snapshot: {exc!r}")
 
 
 def _read_snapshot(value: Any, now_s: float) -> Snapshot:
     """Returns a snapshot; raises `codec.DecodeError` if it is malformed."""
-    at, is_whole, rows, dropped, overruled = checks.check_row(
+    at, is_full, rows, removed, overrides = checks.check_row(
         value, "snapshot", 5
     )
     era, end = checks.check_row(at, "next", 2)
@@ -302,29 +306,29 @@
     position = positions.Position(
         checks.check_count(era, "era"), checks.check_count(end, "next")
     )
-    told = Told(
+    merge_info = MergeInfo(
         tuple(
             checks.check_string(k, "dropped")
-            for k in checks.check_list(dropped, "dropped")
+            for k in checks.check_list(removed, "dropped")
         ),
         {
-            checks.check_string(key, "key"): _read_overruled(
+            checks.check_string(key, "key"): _read_override(
                 offset, left_s, now_s
             )
-            for key, offset, left_s in _check_rows(overruled)
+            for key, offset, left_s in _check_rows(overrides)
         },
     )
-    return Snapshot(records, position, bool(is_whole), told)
+    return Snapshot(records, position, bool(is_full), merge_info)
 
 
-def _read_overruled(offset: Any, left_s: Any, now_s: float) -> Overruled:
+def _read_override(offset: Any, left_s: Any, now_s: float) -> Override:
     if offset is not None:
         checks.check_count(offset, "offset")
     if left_s is None:
-        return Overruled(offset)
-    # It may have run out on the way.
+        return Override(offset)
+    # The override may have ended in transit.
     left_s = checks.check_number(max(0.0, left_s), "left")
-    return Overruled(offset, now_s + left_s)
+    return Override(offset, now_s + left_s)
 
 
 def _check_rows(value: Any) -> Iterable[list[Any]]:
@@ -335,103 +339,108 @@
 
 
 class Topic(feeds.Source[T], Protocol[T]):
-    """A source whose newest state can be carried between hosts."""
+    """A source whose state hosts can exchange as snapshots."""
 
     name: str
 
-    def read_newest(self) -> feeds.Whole[T] | feeds.Unavailable:
+    def read_newest(self) -> feeds.FullState[T] | feeds.Unavailable:
         """Returns the newest value of every key."""
 
     def read_snapshot(
         self, data: bytes
-    ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
-        """Takes what another host handed over."""
+    ) -> feeds.FullState[T] | feeds.Changes[T] | feeds.Unavailable:
+        """Applies a packed snapshot of another host."""
 
 
-# Returns hosts that are alive, the best to ask first.
+# Returns the live hosts to call, best first.
 ListHosts = Callable[[], list[str]]
 
-# Returns what a host has of a topic since a position, or None if it gave none.
-AskHost = Callable[[str, str, positions.Position | None], bytes | None]
+# Fetches the packed snapshot of a topic since a position from a host; None if
+# the host returned none. Arguments: host, topic, position.
+FetchSnapshot = Callable[[str, str, positions.Position | None], bytes | None]
 
 
 class HandoverSource(Generic[T]):
-    """A topic that is read from other hosts too; see `feeds.Source`."""
+    """A topic read from other hosts and the store; see `feeds.Source`."""
 
     def __init__(
         self,
         topic: Topic[T],
         list_hosts: ListHosts,
-        ask: AskHost,
-        is_asking_first: Callable[[], bool],
-        list_at_start: ListHosts = list,
+        fetch: FetchSnapshot,
+        is_peers_first: Callable[[], bool],
+        list_initial_hosts: ListHosts = list,
     ) -> None:
         """Makes a source.
 
         Args:
-            topic: The store's.
-            list_hosts: Hosts to ask.
-            ask: Asks one of them.
-            is_asking_first: Tells whether they are asked before the store,
-                or only when it does not answer.
-            list_at_start: Returns the hosts to ask before the first read of
-                the store, while nobody is heard yet.
+            topic: The topic in the store.
+            list_hosts: Returns the hosts to call.
+            fetch: Fetches a snapshot from one of them.
+            is_peers_first: Returns whether hosts are called before the store,
+                or only when the store does not answer.
+            list_initial_hosts: Returns the hosts to call before the first read
+                of the store, when no peer update has arrived yet.
         """
         self._topic = topic
         self._list_hosts = list_hosts
-        self._ask = ask
-        self._is_asking_first = is_asking_first
-        self._list_at_start = list_at_start
-        self._has_begun = False
+        self._fetch = fetch
+        self._is_peers_first = is_peers_first
+        self._list_initial_hosts = list_initial_hosts
+        self._has_read = False
 
     def read_newest(
         self,
-    ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
+    ) -> feeds.FullState[T] | feeds.Changes[T] | feeds.Unavailable:
         """Returns the newest state, from the store or from another host.
 
-        The first time other hosts go first. A configuration of 1,900 routes
-        is 700 kB as the store hands it out, half a second and more of a small
-        host's link, and a twentieth of that from a host that has it; all that
-        while the host refuses its callers.
+        The first read calls other hosts first, since the host refuses its
+        callers until it has a configuration. One of 1,900 routes is 700 kB
+        from the store, which takes a small host's link more than half a second,
+        and a twentieth of that from another host.
         """
-        if not self._has_begun:
-            self._has_begun = True
-            found = self._ask_hosts(self._list_at_start(), None)
+        if not self._has_read:
+            self._has_read = True
+            found = self._fetch_from_hosts(self._list_initial_hosts(), None)
             if found is not None:
                 return found
         res = self._topic.read_newest()
-        if isinstance(res, feeds.Whole):
+        if isinstance(res, feeds.FullState):
             return res
-        return self._ask_instead(None, res)
+        return self._fall_back(None, res)
 
     def read_changes(
         self, since: positions.Position, wait_s: float
     ) -> feeds.Result[T]:
-        """Returns what was written since."""
-        is_first = self._is_asking_first()
+        """Returns the changes since a position."""
+        is_first = self._is_peers_first()
         hosts = self._list_hosts() if is_first else []
-        found = self._ask_hosts(hosts, since)
+        found = self._fetch_from_hosts(hosts, since)
         if found is not None:
             return found
         res = self._topic.read_changes(since, wait_s)
         if is_first or not isinstance(res, feeds.Unavailable):
             return res
-        return self._ask_instead(since, res)
+        return self._fall_back(since, res)
 
-    def _ask_instead(
+    def _fall_back(
         self, since: positions.Position | None, res: feeds.Unavailable
-    ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
-        found = self._ask_hosts(self._list_hosts(), since)
+    ) -> feeds.FullState[T] | feeds.Changes[T] | feeds.Unavailable:
+        found = self._fetch_from_hosts(self._list_hosts(), since)
         if found is None:
             return res
         return attrs.evolve(found, failure=res.reason)
 
-    def _ask_hosts(
+    def _fetch_from_hosts(
         self, hosts: list[str], since: positions.Position | None
-    ) -> feeds.Whole[T] | feeds.Changes[T] | None:
-        """Returns what another host has, None if none has as much."""
-        for host in hosts[:HOSTS_ASKED]:
-            data = self._ask(host, self._topic.name, since)
+    ) -> feeds.FullState[T] | feeds.Changes[T] | None:
+        """Returns the state of the first host that has one to send.
+
+        Returns:
+            None if no host returned a usable snapshot.
+        """
+        for host in hosts[:MAX_HOSTS_CALLED]:
+            data = self._fetch(host, self._topic.name, since)
             if data is None:
                 continue
             found = self._topic.read_snapshot(data)
--- a/egretspur/catalog/quarantined.py
+++ b/egretspur/catalog/quarantined.py
@@ -1,11 +1,11 @@
-"""Requests in quarantine as the store keeps them.
-
-Hosts tell each other which requests they send no more
-(`egretspur.admission.quarantine`), and forget it when they end: were all of
-them to lose power, or a data centre to be cut off from the others, a request
-would end three more upstreams. So a host that saw one of the ends writes the
-request to the store, from which all hosts read it. An operator lets a request
-go by removing its record.
+"""Persists quarantined requests in the store.
+
+Hosts exchange which requests are quarantined
+(`egretspur.admission.quarantine`), but keep this in memory only. Without the
+store, a request would crash three more upstreams after a power loss of all
+hosts, or in a data centre that is cut off from the others. So a host that saw
+one of the crashes writes the request to the store, from which all hosts read
+it. An operator releases a request by removing its record.
 """
 
 from __future__ import annotations
@@ -23,71 +23,71 @@
 from egretspur.catalog import feeds, tables
 from egretspur.routing import desk
 
-# How long the reader's read waits for a change, in seconds. A change is told at
-# once. With the second that a call may take, a connection that went silent is
-# noticed within three, after which a host that was cut off is held to its
-# bounds again.
-WAIT_S: Final = 2.0
+# How long the store may wait for a change in the reader's read; a change is
+# returned at once. With the second that a call may take, a dead connection is
+# detected within three, when the time bounds apply again to a reconnected host.
+READ_WAIT_S: Final = 2.0
 
-# Seconds between two reads of the others; they are told of changes by the
-# exchange.
-SPARE_PERIOD_S: Final = 60.0
+# Time between two reads of the other hosts, which receive changes in peer
+# updates.
+NON_READER_PERIOD_S: Final = 60.0
 
-# Seconds between two tries to write while the store does not take it.
-RETRY_S: Final = 1.0
+# Time between two attempts to write while the store refuses.
+WRITE_RETRY_S: Final = 1.0
 
-# A copy of the store is some seconds old; what was written so long before it
-# was noticed may be gone.
-COPY_REACH_S: Final = 60.0
+# A restored copy of the store is some seconds old; writes of this last period
+# before the restore was detected may be lost.
+RESTORE_WINDOW_S: Final = 60.0
 
-# Bounds of the wait of a host that writes again what others have written, in
-# seconds: one in each data centre does, and those that see it written don't.
-REWRITE_S: Final = (0.5, 3.0)
+# Range of the random delay before a reader rewrites lost records of others.
+# The readers of all data centres do; those that read the record meanwhile skip
+# it.
+REWRITE_DELAY_S: Final = (0.5, 3.0)
 
-# Writes a request's ends under its fingerprint, or removes it if there are
-# none; returns why it was not done, empty if it was.
+# Writes the crashes of a request under its fingerprint, or removes the record
+# if there are none; returns why it failed, or an empty string.
 Write = Callable[[str, quarantine.CrashWeights], str]
 
 
-def get_pace(is_reader: bool) -> feeds.Pace:
-    """Returns how to read the requests in quarantine."""
+def get_timing(is_reader: bool) -> feeds.Timing:
+    """Returns the timing of the feed of quarantined requests."""
     if is_reader:
-        return feeds.Pace(WAIT_S, 0.0)
-    return feeds.Pace(0.0, SPARE_PERIOD_S)
+        return feeds.Timing(READ_WAIT_S, 0.0)
+    return feeds.Timing(0.0, NON_READER_PERIOD_S)
 
 
 @attrs.frozen
-class _Waiting:
+class _PendingWrite:
     change: quarantine.Change
-    # Monotonic time from which it is to be written.
+    # Monotonic time at which to write it.
     due_s: float
 
 
 class Sink:
-    """Hands what the store has to the desk; see `feeds.Sink`."""
+    """Passes the store's records to the desk; see `feeds.Sink`."""
 
-    def __init__(self, to: desk.Desk, saver: Saver) -> None:
+    def __init__(self, to: desk.Desk, writer: Writer) -> None:
         self._desk = to
-        self._saver = saver
+        self._writer = writer
 
-    def take_whole(
+    def replace_all(
         self, values: Mapping[str, quarantine.CrashWeights | feeds.Unreadable]
     ) -> None:
-        """Takes all requests in quarantine."""
-        self._hand_on(tuple(values.items()))
+        """Restores all quarantined requests."""
+        self._restore(tuple(values.items()))
 
-    def take_changes(
+    def apply_changes(
         self,
         values: tuple[
             tuple[str, quarantine.CrashWeights | feeds.Unreadable | None], ...
         ],
     ) -> None:
-        """Takes changes; a record that can't be read changes nothing."""
+        """Applies changes; a malformed record is ignored."""
         for fingerprint, _ in values:
-            self._saver.note_written(fingerprint)
-        self._hand_on(values)
+            self._writer.cancel_rewrite(fingerprint)
+        self._restore(values)
 
-    def _hand_on(
+    def _restore(
         self,
         values: tuple[
             tuple[str, quarantine.CrashWeights | feeds.Unreadable | None], ...
@@ -101,116 +101,118 @@
         if kept:
             self._desk.tell(desk.RestoreQuarantine(kept))
 
-    def note_contact(self, is_back: bool) -> None:
-        """Nothing depends on when they were last asked for."""
+    def record_answer(self, is_back: bool) -> None:
+        """Does nothing: no state depends on the time of the last answer."""
 
 
-class Saver:
-    """Writes to the store what this host put into quarantine or let go."""
+class Writer:
+    """Writes to the store what this host quarantined or released."""
 
     def __init__(self, write: Write, rng: random.Random) -> None:
-        """Makes a saver that has nothing to write.
+        """Makes a writer without pending changes.
 
         Args:
             write: Writes to the store.
-            rng: Draws when to write again what a copy of the store lacks.
+            rng: Draws the delay before lost records are rewritten.
         """
         self._write = write
         self._rng = rng
         self._lock = threading.Lock()
-        self._is_due = threading.Event()
+        self._wake = threading.Event()
         self._stop = threading.Event()
-        # What is to be written, by fingerprint; the newest counts.
-        self._waiting: dict[str, _Waiting] = {}
-        # What this host has written of late, and when.
+        # Pending changes by fingerprint; a newer one replaces an older one.
+        self._pending: dict[str, _PendingWrite] = {}
+        # Changes that this host wrote recently, and when.
         self._written: dict[str, tuple[quarantine.Change, float]] = {}
         self._thread = threading.Thread(
             target=self._run, name="quarantine", daemon=True
         )
 
     def start(self) -> None:
-        """Starts to write."""
+        """Starts the thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stops; what is not written by then is lost to the store."""
+        """Stops the thread; pending changes are not written."""
         self._stop.set()
-        self._is_due.set()
+        self._wake.set()
 
-    def take(self, changes: Sequence[quarantine.Change]) -> None:
-        """Has changes written soon."""
-        self._put(changes, 0.0)
+    def queue_changes(self, changes: Sequence[quarantine.Change]) -> None:
+        """Queues changes to write at once."""
+        self._queue(changes, 0.0)
 
-    def note_copy(
+    def rewrite_lost(
         self,
-        report: tables.CopyReport[quarantine.CrashWeights],
+        report: tables.RestoreReport[quarantine.CrashWeights],
         is_reader: bool,
     ) -> None:
-        """Has written again what a copy of the store has lost.
+        """Queues records that a restored copy of the store lacks.
 
-        What this host wrote of late it alone may know, so it writes it at
-        once. What was read before is known to all hosts, and the reader of each
-        data centre writes it.
+        Recent writes of this host may be known to no other host, so it rewrites
+        them at once. Other records are known to all hosts; the reader of each
+        data centre rewrites them after a random delay.
+
+        Args:
+            report: What the copy lacks.
+            is_reader: Whether this host is the reader of its data centre.
         """
         now_s = time.monotonic()
         with self._lock:
             own = {
                 f: change
                 for f, (change, at_s) in self._written.items()
-                if now_s - at_s < COPY_REACH_S
+                if now_s - at_s < RESTORE_WINDOW_S
             }
-        self._put(list(own.values()), 0.0)
+        self._queue(list(own.values()), 0.0)
         if is_reader:
             lost = [
                 quarantine.Change(f, ends, is_own=False)
                 for f, ends in report.kept.items()
                 if f not in own and not isinstance(ends, feeds.Unreadable)
             ]
-            self._put(lost, self._rng.uniform(*REWRITE_S))
+            self._queue(lost, self._rng.uniform(*REWRITE_DELAY_S))
 
-    def note_written(self, fingerprint: str) -> None:
-        """Takes that the store has a record, and needs none from here."""
+    def cancel_rewrite(self, fingerprint: str) -> None:
+        """Cancels a delayed rewrite, since the store has the record."""
         now_s = time.monotonic()
         with self._lock:
-            waiting = self._waiting.get(fingerprint)
-            if waiting is not None and waiting.due_s > now_s:
-                del self._waiting[fingerprint]
+            pending = self._pending.get(fingerprint)
+            if pending is not None and pending.due_s > now_s:
+                del self._pending[fingerprint]
 
-    def _put(
+    def _queue(
         self, changes: Sequence[quarantine.Change], delay_s: float
     ) -> None:
         due_s = time.monotonic() + delay_s
         with self._lock:
             for change in changes:
-                self._waiting[change.fingerprint] = _Waiting(change, due_s)
-        self._is_due.set()
+                self._pending[change.fingerprint] = _PendingWrite(change, due_s)
+        self._wake.set()
 
     def _run(self) -> None:
         while True:
-            self._is_due.wait(self._find_rest())
+            self._wake.wait(self._get_delay())
             if self._stop.is_set():
                 return
-            self._is_due.clear()
+            self._wake.clear()
             with guard.log_exceptions("quarantine"):
-                if not self.write_waiting():
-                    self._stop.wait(RETRY_S)
-                    self._is_due.set()
+                if not self.write_due():
+                    self._stop.wait(WRITE_RETRY_S)
+                    self._wake.set()
 
-    def _find_rest(self) -> float | None:
-        """Returns the seconds until something is due; None for nothing."""
+    def _get_delay(self) -> float | None:
+        """Returns the seconds until the next write; None if none pends."""
         with self._lock:
-            due_s = min((w.due_s for w in self._waiting.values()), default=None)
+            due_s = min((w.due_s for w in self._pending.values()), default=None)
         return None if due_s is None else max(0.0, due_s - time.monotonic())
 
-    def write_waiting(self) -> bool:
-        """Writes what is due; tells whether all of it was taken."""
+    def write_due(self) -> bool:
+        """Writes what is due; returns whether all writes succeeded."""
         now_s = time.monotonic()
         with self._lock:
-            waiting = [
-                w.change for w in self._waiting.values() if now_s >= w.due_s
-            ]
+            due = [w.change for w in self._pending.values() if now_s >= w.due_s]
         is_done = True
-        for change in waiting:
+        for change in due:
             problem = self._write(change.fingerprint, change.crashes)
             decisions.record(
                 decisions.QuarantineSaved(
@@ -219,18 +221,18 @@
             )
             is_done = is_done and not problem
             if not problem:
-                self._forget(change, now_s)
+                self._record_written(change, now_s)
         return is_done
 
-    def _forget(self, change: quarantine.Change, now_s: float) -> None:
-        """Drops what was written, unless there is a newer change."""
+    def _record_written(self, change: quarantine.Change, now_s: float) -> None:
+        """Records a written change; ends its pending write unless replaced."""
         with self._lock:
             self._written = {
                 f: (c, at_s)
                 for f, (c, at_s) in self._written.items()
-                if now_s - at_s < COPY_REACH_S
+                if now_s - at_s < RESTORE_WINDOW_S
             }
             self._written[change.fingerprint] = (change, now_s)
-            waiting = self._waiting.get(change.fingerprint)
-            if waiting is not None and waiting.change is change:
-                del self._waiting[change.fingerprint]
+            pending = self._pending.get(change.fingerprint)
+            if pending is not None and pending.change is change:
+                del self._pending[change.fingerprint]
--- a/egretspur/catalog/tables.py
+++ b/egretspur/catalog/tables.py
@@ -1,11 +1,11 @@
-"""What a host knows of one topic, also across copies of the store: pure.
-
-When the store comes back from an older copy, what the copy says is not taken
-where it would undo what is known: a key that was removed stays removed, an
-upstream that was leaving stays so, a configuration does not go back. What the
-copy lacks is kept for as long as its writer may take to write it again. All of
-that holds until a later record of the key is read. Read next:
-`egretspur.catalog.positions` and `egretspur.catalog.handover`.
+"""State of one topic that survives a restore of the store; pure.
+
+When the store is restored from an older copy, the copy does not undo what a
+host knows: a removed key stays removed, a draining upstream stays draining, and
+the configuration keeps its version. Keys that the copy lacks are kept for as
+long as their writers may take to rewrite them. Each such override ends when a
+later record of the key is read. Read next: `egretspur.catalog.positions` and
+`egretspur.catalog.handover`.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 T = TypeVar("T")
 
-# What a copy has though it was removed is not taken for so long, in seconds:
-# twice the time after which the store drops an entry whose writer is silent. If
-# it is there still, its writer has written it again.
+# How long a record of the copy is withheld whose key was removed later: twice
+# the time after which the store removes an entry whose writer is silent. A
+# record that remains longer was rewritten.
 WITHHELD_S: Final = 8.0
 
 Value: TypeAlias = T | feeds.Unreadable
@@ -31,44 +31,47 @@
 
 
 @attrs.frozen
-class Read(Generic[T]):
-    """A record with what it says; None if it drops its key."""
+class DecodedRecord(Generic[T]):
+    """A record with its decoded value."""
 
     record: handover.Record
+    # None for a tombstone.
     value: Value[T] | None
 
 
 @attrs.frozen
 class Policy(Generic[T]):
-    """What of a topic outlasts a copy of the store."""
-
-    # Tells whether a known value goes before one that a copy has.
-    goes_before: Callable[[T, T], bool]
-    # How long a key is kept that a copy lacks, in seconds.
-    kept_s: float = math.inf
-    # A value never gives way to one that it goes before, whoever writes that.
+    """Decides which values of a topic survive a restore of the store."""
+
+    # Returns whether a known value supersedes that of the copy; called with
+    # both in this order.
+    supersedes: Callable[[T, T], bool]
+    # How long a key that the copy lacks is kept, in seconds.
+    keep_missing_s: float = math.inf
+    # Whether known values supersede later records as well as those of a copy.
     is_monotonic: bool = False
 
 
 @attrs.frozen
-class CopyReport(Generic[T]):
-    """What became of a topic as the store came back from a copy."""
+class RestoreReport(Generic[T]):
+    """Result of merging a topic with a restored copy of the store."""
 
     topic: str
-    before: int
+    # Eras before and after the restore.
+    previous_era: int
     era: int
-    # Records that the copy has.
+    # Number of records in the copy.
     read: int
-    # Values that the copy lacks or has otherwise, and that are kept.
+    # Values that were kept, since the copy lacks them or has older ones.
     kept: Mapping[str, Value[T]]
-    # Keys that the copy has and that were removed later.
+    # Keys that the copy has, and that were removed later.
     withheld: tuple[str, ...]
 
 
 class Table(Generic[T]):
     """The newest value of each key; see the module's docstring.
 
-    One thread changes it; `export` may be called from any.
+    One thread changes it; any thread may call `export`.
     """
 
     def __init__(
@@ -80,241 +83,251 @@
         """Makes an empty table.
 
         Args:
-            name: The topic's.
-            policy: What outlasts a copy.
-            clock: Monotonic time, in seconds.
+            name: Name of the topic.
+            policy: Decides what survives a restore.
+            clock: Returns the monotonic time in seconds.
         """
         self._name = name
         self._policy = policy
         self._clock = clock
-        self._newest = handover.Newest(clock)
+        self._newest = handover.NewestRecords(clock)
         self._values: dict[str, Value[T]] = {}
-        # Records of the copy that don't count, by key.
-        self._overruled: dict[str, handover.Overruled] = {}
-        # Of them, those whose key is not known otherwise.
-        self._withheld: dict[str, Read[T]] = {}
-        # Told of each copy of the store, once the topic was read from it.
-        self.note_copy: Callable[[CopyReport[T]], None] = lambda report: None
+        # Overrides of the copy's records, by key.
+        self._overrides: dict[str, handover.Override] = {}
+        # Ignored records of keys that have no known value.
+        self._withheld: dict[str, DecodedRecord[T]] = {}
+        # Called after the first read of the topic from a restored store.
+        self.on_restore: Callable[[RestoreReport[T]], None] = lambda r: None
 
     def get_value(self, key: str) -> Value[T] | None:
-        """Returns what is known of a key."""
+        """Returns the value of a key; None if it has none."""
         return self._values.get(key)
 
     def get_position(self) -> positions.Position | None:
-        """Returns up to where the topic was read; None before that."""
+        """Returns the position of the last read; None before the first."""
         return self._newest.position
 
     def export(self, since: positions.Position | None) -> bytes | None:
-        """Returns what another host misses; see `handover.Newest`."""
+        """Returns the packed snapshot for a host that has read to `since`."""
         return self._newest.pack_since(since)
 
     def replace(
         self,
-        reads: Sequence[Read[T]],
+        records: Sequence[DecodedRecord[T]],
         at: positions.Position,
-        told: handover.Told | None = None,
+        merge_info: handover.MergeInfo | None = None,
     ) -> dict[str, Value[T]]:
-        """Takes all keys, read anew.
+        """Merges a full read of the topic.
 
         Args:
-            reads: Their newest records, oldest first.
-            at: From where changes are to be read.
-            told: What a host that handed them over knows besides; None if
+            records: The newest record of each key, oldest first.
+            at: Position from which to read changes.
+            merge_info: Sent by the other host beside the records; None if
                 they were read from the store.
 
         Returns:
-            What is known now, by key.
+            The values after the merge, by key.
         """
         before = self._newest.position
-        fresh = {r.record.key: r for r in reads}
-        before_copy = before if before and before.era != at.era else None
-        if before_copy is not None:
-            self._overruled = self._find_outlasting(fresh, told)
-            self._overruled.update(
-                self._find_removed(fresh, before_copy.offset, told)
+        fresh = {r.record.key: r for r in records}
+        previous = before if before and before.era != at.era else None
+        if previous is not None:
+            self._overrides = self._find_surviving(fresh, merge_info)
+            self._overrides.update(
+                self._find_removed(fresh, previous.offset, merge_info)
             )
         else:
-            self._drop_settled(fresh)
-        told = told or handover.NOTHING_TOLD
-        self._overruled.update(told.overruled)
+            self._drop_ended_overrides(fresh)
+        merge_info = merge_info or handover.NO_MERGE_INFO
+        self._overrides.update(merge_info.overrides)
         known = [
-            read
-            for key in {**self._overruled, **fresh}
-            if (read := self._choose(key, fresh, told)) is not None
+            decoded
+            for key in {**self._overrides, **fresh}
+            if (decoded := self._resolve(key, fresh, merge_info)) is not None
         ]
-        self._set(known, at, told.dropped)
+        self._replace_all(known, at, merge_info.removed)
         self._withheld = {
-            key: read
-            for key, read in fresh.items()
-            if key in self._overruled and key not in self._values
+            key: decoded
+            for key, decoded in fresh.items()
+            if key in self._overrides and key not in self._values
         }
-        if before_copy is not None:
-            self._report(before_copy.era, at.era, len(fresh))
+        if previous is not None:
+            self._report_restore(previous.era, at.era, len(fresh))
         return dict(self._values)
 
-    def change(
-        self, reads: Sequence[Read[T]], at: positions.Position
+    def apply_changes(
+        self, records: Sequence[DecodedRecord[T]], at: positions.Position
     ) -> Changed[T]:
-        """Takes records that were written since, oldest first.
+        """Applies records written since the last read, oldest first.
+
+        Args:
+            records: The records.
+            at: Position after them.
 
         Returns:
-            The changes, with those keys that were kept or withheld for long
-            enough.
+            The changes, including keys whose override has expired.
         """
         changes: list[tuple[str, Value[T] | None]] = []
-        for read in reads:
-            record, value = read.record, read.value
-            if self._policy.is_monotonic and self._outdoes(read):
-                self._overruled[record.key] = handover.Overruled(record.offset)
+        for decoded in records:
+            record, value = decoded.record, decoded.value
+            if self._policy.is_monotonic and self._is_superseded(decoded):
+                self._overrides[record.key] = handover.Override(record.offset)
                 continue
-            is_settled = self._overruled.pop(record.key, None) is not None
+            is_rewritten = self._overrides.pop(record.key, None) is not None
             self._withheld.pop(record.key, None)
             if value is None:
                 self._values.pop(record.key, None)
                 self._newest.put(record)
             else:
-                # What was kept had no place among the records, so that others
-                # must be told that it was written again.
-                if is_settled or self._values.get(record.key) != value:
+                # The offset of a kept value is not valid in this era, so the
+                # rewritten record is stored for other hosts even if equal.
+                if is_rewritten or self._values.get(record.key) != value:
                     self._newest.put(record)
                 self._values[record.key] = value
             changes.append((record.key, value))
-        changes += self._expire(at)
-        self._newest.move_on(at, self._overruled)
+        changes += self._expire_overrides(at)
+        self._newest.advance(at, self._overrides)
         return tuple(changes)
 
-    def _outdoes(self, read: Read[T]) -> bool:
-        """Tells whether what is known of a record's key goes before it."""
-        known = self._values.get(read.record.key)
-        return known is not None and self._goes_before(known, read.value)
-
-    def _drop_settled(self, fresh: Mapping[str, Read[T]]) -> None:
-        """Forgets what was overruled of which a later record was read."""
-        for key, overruled in list(self._overruled.items()):
-            read = fresh.get(key)
-            if read is not None and not overruled.covers(read.record):
-                del self._overruled[key]
-
-    def _find_outlasting(
-        self, fresh: Mapping[str, Read[T]], told: handover.Told | None
-    ) -> dict[str, handover.Overruled]:
-        """Finds what is known and goes before what a copy says, or lacks."""
+    def _is_superseded(self, decoded: DecodedRecord[T]) -> bool:
+        """Returns whether the known value of its key supersedes a record."""
+        known = self._values.get(decoded.record.key)
+        return known is not None and self._supersedes(known, decoded.value)
+
+    def _drop_ended_overrides(
+        self, fresh: Mapping[str, DecodedRecord[T]]
+    ) -> None:
+        """Removes overrides of keys of which a later record was read."""
+        for key, override in list(self._overrides.items()):
+            decoded = fresh.get(key)
+            if decoded is not None and not override.ignores(decoded.record):
+                del self._overrides[key]
+
+    def _find_surviving(
+        self,
+        fresh: Mapping[str, DecodedRecord[T]],
+        merge_info: handover.MergeInfo | None,
+    ) -> dict[str, handover.Override]:
+        """Returns overrides for known values that survive a restore."""
         found = {}
-        kept_until_s = self._clock() + self._policy.kept_s
-        dropped = told.dropped if told else ()
+        kept_until_s = self._clock() + self._policy.keep_missing_s
+        removed = merge_info.removed if merge_info else ()
         for key, value in self._values.items():
-            read = fresh.get(key)
-            if read is None:
-                if key not in dropped:
-                    found[key] = handover.Overruled(None, kept_until_s)
-            elif self._goes_before(value, read.value):
-                found[key] = handover.Overruled(read.record.offset)
+            decoded = fresh.get(key)
+            if decoded is None:
+                if key not in removed:
+                    found[key] = handover.Override(None, kept_until_s)
+            elif self._supersedes(value, decoded.value):
+                found[key] = handover.Override(decoded.record.offset)
         return found
 
     def _find_removed(
         self,
-        fresh: Mapping[str, Read[T]],
+        fresh: Mapping[str, DecodedRecord[T]],
         read_up_to: int,
-        told: handover.Told | None,
-    ) -> dict[str, handover.Overruled]:
-        """Finds what a copy has though later records removed it.
-
-        All before the offset that this host had read up to is known to it: what
-        the copy has there under an unknown key was removed later, or is new and
-        soon written again. What another host keeps against the copy has no such
-        offset.
+        merge_info: handover.MergeInfo | None,
+    ) -> dict[str, handover.Override]:
+        """Returns overrides for records of the copy that were removed later.
+
+        This host knows the effect of all records before the offset up to which
+        it had read. A record of the copy before that offset, under an unknown
+        key, was removed later, or is new and soon rewritten. Values that
+        another host keeps despite the copy have no such offset.
         """
-        kept = told.overruled if told else {}
+        kept = merge_info.overrides if merge_info else {}
         until_s = self._clock() + WITHHELD_S
         return {
-            key: handover.Overruled(read.record.offset, until_s)
-            for key, read in fresh.items()
+            key: handover.Override(decoded.record.offset, until_s)
+            for key, decoded in fresh.items()
             if key not in self._values
             and key not in kept
-            and read.record.offset < read_up_to
+            and decoded.record.offset < read_up_to
         }
 
-    def _goes_before(self, known: Value[T], copied: Value[T] | None) -> bool:
+    def _supersedes(self, known: Value[T], copied: Value[T] | None) -> bool:
         if isinstance(known, feeds.Unreadable):
             return False
         if copied is None or isinstance(copied, feeds.Unreadable):
             return True
-        return known != copied and self._policy.goes_before(known, copied)
+        return known != copied and self._policy.supersedes(known, copied)
 
-    def _choose(
-        self, key: str, fresh: Mapping[str, Read[T]], told: handover.Told
-    ) -> Read[T] | None:
-        """Returns what is known of a key from now on; None for nothing.
+    def _resolve(
+        self,
+        key: str,
+        fresh: Mapping[str, DecodedRecord[T]],
+        merge_info: handover.MergeInfo,
+    ) -> DecodedRecord[T] | None:
+        """Returns the record of a key after a merge; None for no value.
 
         Args:
             key: The key.
-            fresh: What was read.
-            told: What the host that handed it over knows besides.
+            fresh: The records that were read, by key.
+            merge_info: Sent by the other host beside the records.
         """
         theirs = fresh.get(key)
-        if key not in self._overruled:
+        if key not in self._overrides:
             return theirs
         mine = self._get_known(key)
-        if key not in told.overruled:
+        if key not in merge_info.overrides:
             return mine
-        # Both know better than the copy.
-        if mine is None and key in self._newest.list_dropped():
+        # Both hosts override the copy.
+        if mine is None and key in self._newest.list_removed():
             return None
         if mine is None or theirs is None:
             return theirs
-        if mine.value is not None and self._goes_before(
+        if mine.value is not None and self._supersedes(
             mine.value, theirs.value
         ):
             return mine
         return theirs
 
-    def _get_known(self, key: str) -> Read[T] | None:
+    def _get_known(self, key: str) -> DecodedRecord[T] | None:
         value = self._values.get(key)
         record = self._newest.get(key)
         if value is None or record is None:
             return None
-        # It has no place among the records of this era, and is older.
-        return Read(attrs.evolve(record, offset=0), value)
+        # Its offset is of an earlier era, so it sorts before all records.
+        return DecodedRecord(attrs.evolve(record, offset=0), value)
 
-    def _set(
+    def _replace_all(
         self,
-        known: Sequence[Read[T]],
+        known: Sequence[DecodedRecord[T]],
         at: positions.Position,
-        dropped: Collection[str],
+        removed: Collection[str],
     ) -> None:
-        """Takes what is known from now on, and keys known to be removed."""
+        """Replaces all values and records, and adds removed keys."""
         ordered = sorted(known, key=lambda r: r.record.offset)
         self._values = {
             r.record.key: r.value for r in ordered if r.value is not None
         }
-        gone = {*self._newest.list_dropped(), *dropped} - set(self._values)
+        gone = {*self._newest.list_removed(), *removed} - set(self._values)
         self._newest.replace(
-            [r.record for r in ordered], at, gone, self._overruled
+            [r.record for r in ordered], at, gone, self._overrides
         )
 
-    def _report(self, before: int, era: int, read: int) -> None:
+    def _report_restore(self, previous_era: int, era: int, read: int) -> None:
         kept = {
-            k: self._values[k] for k in self._overruled if k in self._values
+            k: self._values[k] for k in self._overrides if k in self._values
         }
-        withheld = tuple(k for k in self._overruled if k not in kept)
-        self.note_copy(
-            CopyReport(self._name, before, era, read, kept, withheld)
+        withheld = tuple(k for k in self._overrides if k not in kept)
+        self.on_restore(
+            RestoreReport(self._name, previous_era, era, read, kept, withheld)
         )
 
-    def _expire(self, at: positions.Position) -> Changed[T]:
-        """Ends what was kept or withheld for long enough."""
+    def _expire_overrides(self, at: positions.Position) -> Changed[T]:
+        """Ends overrides whose time is over; returns the changes."""
         now_s = self._clock()
-        late = [k for k, o in self._overruled.items() if now_s >= o.until_s]
+        late = [k for k, o in self._overrides.items() if now_s >= o.until_s]
         changes: list[tuple[str, Value[T] | None]] = []
         for key in late:
-            del self._overruled[key]
-            read = self._withheld.pop(key, None)
-            if read is None or read.value is None:
+            del self._overrides[key]
+            decoded = self._withheld.pop(key, None)
+            if decoded is None or decoded.value is None:
                 self._values.pop(key, None)
                 self._newest.put(handover.Record(at.offset, key, b""))
                 changes.append((key, None))
             else:
-                self._values[key] = read.value
-                self._newest.put(read.record)
-                changes.append((key, read.value))
+                self._values[key] = decoded.value
+                self._newest.put(decoded.record)
+                changes.append((key, decoded.value))
         return tuple(changes)
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -52,13 +52,13 @@
     def __init__(self, take: Callable[[config.Configuration], None]) -> None:
         self._take = take
 
-    def take_whole(
+    def replace_all(
         self, values: Mapping[str, config.Configuration | feeds.Unreadable]
     ) -> None:
         """Takes the newest configuration."""
-        self.take_changes(tuple(values.items()))
+        self.apply_changes(tuple(values.items()))
 
-    def take_changes(
+    def apply_changes(
         self,
         values: tuple[
             tuple[str, config.Configuration | feeds.Unreadable | None], ...
@@ -69,7 +69,7 @@
             if isinstance(cfg, config.Configuration):
                 self._take(cfg)
 
-    def note_contact(self, is_back: bool) -> None:
+    def record_answer(self, is_back: bool) -> None:
         """Nothing depends on when the configuration was last asked for."""
 
 
@@ -82,14 +82,14 @@
         # When the store itself last answered, on the monotonic clock.
         self.answered_s = -math.inf
 
-    def take_whole(
+    def replace_all(
         self, values: Mapping[str, upstreams.Upstream | feeds.Unreadable]
     ) -> None:
         """Takes the whole list."""
         self._desk.tell(desk.ReplaceUpstreams(values))
         self.has_list = True
 
-    def take_changes(
+    def apply_changes(
         self,
         values: tuple[
             tuple[str, upstreams.Upstream | feeds.Unreadable | None], ...
@@ -98,7 +98,7 @@
         """Takes changes."""
         self._desk.tell(desk.ChangeUpstreams(values))
 
-    def note_contact(self, is_back: bool) -> None:
+    def record_answer(self, is_back: bool) -> None:
         """Starts the grace for entries that lapsed during an outage."""
         self.answered_s = time.monotonic()
         self._desk.tell(desk.StoreAnswered(is_back))
@@ -109,7 +109,7 @@
     """How other hosts are asked for what they have read."""
 
     hosts: Hosts
-    ask: handover.AskHost
+    ask: handover.FetchSnapshot
     # Those to ask before anyone is heard.
     list_at_start: handover.ListHosts
 
@@ -123,9 +123,9 @@
     def __init__(self, topics: int) -> None:
         """Makes an account that waits for so many topics."""
         self._topics = topics
-        self._reports: dict[int, dict[str, tables.CopyReport[Any]]] = {}
+        self._reports: dict[int, dict[str, tables.RestoreReport[Any]]] = {}
 
-    def add(self, report: tables.CopyReport[Any]) -> None:
+    def add(self, report: tables.RestoreReport[Any]) -> None:
         """Takes a topic's report, and logs them once all are there."""
         reports = self._reports.setdefault(report.era, {})
         reports[report.topic] = report
@@ -137,7 +137,7 @@
         names = slice(decisions.MAX_NAMED)
         decisions.record(
             decisions.StoreCopied(
-                report.before,
+                report.previous_era,
                 report.era,
                 {t: r.read for t, r in reports.items()},
                 {t: tuple(r.kept)[names] for t, r in reports.items()},
@@ -155,7 +155,7 @@
         near: Neighbours,
         to: desk.Desk,
         configure: Callable[[config.Configuration], None],
-        saver: quarantined.Saver,
+        saver: quarantined.Writer,
         limits: bounds.Bounds,
     ) -> None:
         """Makes feeds that have read nothing.
@@ -178,19 +178,19 @@
             "config",
             self._join(configs, hosts.list_newest),
             ConfigSink(configure),
-            lambda: reading.get_config_pace(hosts.is_reader()),
+            lambda: reading.get_config_timing(hosts.is_reader()),
         )
         self._listed = feeds.Feed(
             "upstreams",
             self._join(listed, hosts.list_alive),
             self.listed,
-            lambda: reading.get_list_pace(hosts.is_reader()),
+            lambda: reading.get_list_timing(hosts.is_reader()),
         )
         self._held = feeds.Feed(
             "quarantine",
             self._join(held, hosts.list_alive),
             quarantined.Sink(to, saver),
-            lambda: quarantined.get_pace(hosts.is_reader()),
+            lambda: quarantined.get_timing(hosts.is_reader()),
         )
         self._all: tuple[feeds.Feed[Any], ...] = (
             self._configs,
@@ -204,16 +204,16 @@
         self._copies = CopyAccount(len(self.topics))
         self._upstreams = listed
         for topic in self.topics.values():
-            topic.table.note_copy = self._copies.add
-        held.table.note_copy = functools.partial(self._note_held_copy, saver)
+            topic.table.on_restore = self._copies.add
+        held.table.on_restore = functools.partial(self._note_held_copy, saver)
 
     def _note_held_copy(
         self,
-        saver: quarantined.Saver,
-        report: tables.CopyReport[quarantine.CrashWeights],
+        saver: quarantined.Writer,
+        report: tables.RestoreReport[quarantine.CrashWeights],
     ) -> None:
         self._copies.add(report)
-        saver.note_copy(report, self._near.hosts.is_reader())
+        saver.rewrite_lost(report, self._near.hosts.is_reader())
 
     def get_era(self) -> int:
         """Returns the era of the store as the list was last read."""
@@ -244,7 +244,7 @@
             feed.close()
 
     def poke(
-        self, known: reading.Known, heard: Sequence[datagrams.PeerUpdate]
+        self, known: reading.ReadState, heard: Sequence[datagrams.PeerUpdate]
     ) -> None:
         """Has read what another host has read already.
 
@@ -252,15 +252,15 @@
             known: What this host has, as it last told others.
             heard: News of others.
         """
-        if any(reading.is_copy_due(known, n.known) for n in heard):
+        if any(reading.is_era_stale(known, n.known) for n in heard):
             self.poke_all()
             return
-        if any(reading.is_config_due(known, n.known) for n in heard):
-            self._configs.poke()
-        if any(reading.is_list_due(known, n.known) for n in heard):
-            self._listed.poke()
+        if any(reading.is_config_stale(known, n.known) for n in heard):
+            self._configs.wake()
+        if any(reading.is_list_stale(known, n.known) for n in heard):
+            self._listed.wake()
 
     def poke_all(self) -> None:
         """Has all read now: the reader, or the store's era, is another."""
         for feed in self._all:
-            feed.poke()
+            feed.wake()
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -122,7 +122,7 @@
         self._pages_client = transport.Transport(0.3, 1.0)
         group = store.Group(self._store, f"orders-{cfg.data_centre}", cfg.ip)
         self._members = duty.Members(group, cfg.ip, rng)
-        self._saver = quarantined.Saver(
+        self._saver = quarantined.Writer(
             functools.partial(store.write_quarantine, self._store), rng
         )
         self._followed = follow.Followed(
@@ -136,13 +136,16 @@
             cfg.bounds,
         )
         self._prober = probes.Prober(
-            self._desk, self._probe, self._exchange.send_soon, self._saver.take
+            self._desk,
+            self._probe,
+            self._exchange.send_soon,
+            self._saver.queue_changes,
         )
         self._duty = duty.Duty(group, self._exchange)
         self._keeper = ranges.RangeReconciler(self._duty, self._engines, self)
-        self._versions = config.Versions()
+        self._versions = config.CurrentConfig()
         # As it was last told to others.
-        self._known = reading.Known(0, 0, math.inf)
+        self._known = reading.ReadState(0, 0, math.inf)
         self._was_reader = False
         self._file = node.SettingsFile()
         self._is_reload_due = False
@@ -223,7 +226,7 @@
 
     def configure(self, cfg: config.Configuration) -> None:
         """Puts a configuration in force, unless a newer one is."""
-        if not self._versions.take(cfg):
+        if not self._versions.update(cfg):
             return
         # Requests are made by the intake's version and sent by the broker's:
         # the broker must know a service before a request names it.
--- a/egretspur/membership/datagrams.py
+++ b/egretspur/membership/datagrams.py
@@ -47,7 +47,7 @@
     # Seconds since the store last answered the host.
     store_age_s: float
     # Versions that the host has read from the store's topics.
-    known: reading.Known
+    known: reading.ReadState
     usage: Mapping[str, jobs.Usage]
     # Pace of engines that run slower than others of their kind.
     pace: Mapping[str, float]
@@ -182,9 +182,9 @@
     return _LastDatagram(row, parts)
 
 
-def _decode_known(value: Any) -> reading.Known:
+def _decode_known(value: Any) -> reading.ReadState:
     version, digest, list_age_s, era = checks.check_row(value, "known", 4)
-    return reading.Known(
+    return reading.ReadState(
         checks.check_count(version, "version"),
         checks.check_count(digest, "digest"),
         checks.check_number(list_age_s, "list_age"),
--- a/egretspur/membership/exchange.py
+++ b/egretspur/membership/exchange.py
@@ -374,7 +374,7 @@
 
 def _is_fresh(status: _PeerStatus, now_s: float) -> bool:
     """Returns whether a host has read the list recently."""
-    return status.list_age_s + now_s - status.at_s < reading.FRESH_S
+    return status.list_age_s + now_s - status.at_s < reading.MAX_LIST_AGE_S
 
 
 class Exchange:
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -119,7 +119,7 @@
             return feeds.Unavailable(res.reason)
         if res.status not in good:
             return feeds.Unavailable(f"{target}: status {res.status}")
-        if self.eras.note(read_era(res)) is positions.Standing.OLDER:
+        if self.eras.observe(read_era(res)) is positions.EraOrder.OLDER:
             return feeds.Unavailable(f"{target}: of before the store's copy")
         self.answered_s = time.monotonic()
         return res
@@ -162,7 +162,7 @@
         self._clock = clock
         self.table: tables.Table[T] = tables.Table(topic, policy, clock)
 
-    def read_newest(self) -> feeds.Whole[T] | feeds.Unavailable:
+    def read_newest(self) -> feeds.FullState[T] | feeds.Unavailable:
         """Reads all pages; changes made meanwhile are read again after."""
         records: list[handover.Record] = []
         query: dict[str, Any] = {"topic": self._topic, "part": 0}
@@ -202,10 +202,10 @@
         era = read_era(res)
         if (
             positions.compare_eras(since.era, era)
-            is not positions.Standing.SAME
+            is not positions.EraOrder.SAME
         ):
             # Its records may stand at offsets that other ones had before.
-            return feeds.Expired(is_copy=True)
+            return feeds.Expired(is_restored=True)
         if res.status == 410:
             return feeds.Expired()
         try:
@@ -217,7 +217,9 @@
             for i, r in enumerate(raw)
         ]
         at = positions.Position(era, first + len(records))
-        return feeds.Changes(self.table.change(self._read(records), at), at)
+        return feeds.Changes(
+            self.table.apply_changes(self._read(records), at), at
+        )
 
     def export(self, since: positions.Position | None) -> bytes | None:
         """Returns what another host misses that has read up to a position."""
@@ -225,7 +227,7 @@
 
     def read_snapshot(
         self, data: bytes
-    ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
+    ) -> feeds.FullState[T] | feeds.Changes[T] | feeds.Unavailable:
         """Takes what another host exported."""
         found = handover.unpack_snapshot(data, self._clock())
         if isinstance(found, feeds.Unavailable):
@@ -233,38 +235,44 @@
         mine = self.table.get_position()
         if mine is not None:
             standing = positions.compare_eras(mine.era, found.next.era)
-            if standing is positions.Standing.OLDER:
+            if standing is positions.EraOrder.OLDER:
                 return feeds.Unavailable("snapshot of before the store's copy")
-        if found.is_whole:
-            return self._take_whole(found.records, found.next, found.told)
-        changes = self.table.change(self._read(found.records), found.next)
-        return feeds.Changes(changes, found.next, is_handed=True)
+        if found.is_full:
+            return self._take_whole(found.records, found.next, found.merge_info)
+        changes = self.table.apply_changes(
+            self._read(found.records), found.next
+        )
+        return feeds.Changes(changes, found.next, is_from_peer=True)
 
     def _take_whole(
         self,
         records: Sequence[handover.Record],
         at: positions.Position,
-        told: handover.Told | None = None,
-    ) -> feeds.Whole[T]:
+        told: handover.MergeInfo | None = None,
+    ) -> feeds.FullState[T]:
         """Keeps and decodes the newest records, in the order they came.
 
         Of two entries that speak of one address, the later one counts.
         """
         ordered = sorted(records, key=lambda r: r.offset)
         values = self.table.replace(self._read(ordered), at, told)
-        return feeds.Whole(values, at, is_handed=told is not None)
+        return feeds.FullState(values, at, is_from_peer=told is not None)
 
-    def _read(self, records: Sequence[handover.Record]) -> list[tables.Read[T]]:
+    def _read(
+        self, records: Sequence[handover.Record]
+    ) -> list[tables.DecodedRecord[T]]:
         """Decodes records of keys that are followed."""
-        reads: list[tables.Read[T]] = []
+        reads: list[tables.DecodedRecord[T]] = []
         for record in records:
             if not self._is_followed(record.key):
                 continue
             if not record.raw:
-                reads.append(tables.Read(record, None))
+                reads.append(tables.DecodedRecord(record, None))
                 continue
             value = self._read_value(record, self.table.get_value(record.key))
-            reads.append(tables.Read(_make_handed(record, value), value))
+            reads.append(
+                tables.DecodedRecord(_make_handed(record, value), value)
+            )
         return reads
 
     def _read_value(
@@ -381,7 +389,7 @@
         store,
         names.SERVERS_TOPIC,
         decode.decode_upstream,
-        tables.Policy(upstreams.outlasts_copy, lapse_s),
+        tables.Policy(upstreams.supersedes_restored, lapse_s),
         clock=clock,
     )
 
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -337,7 +337,7 @@
         """Replaces the list of upstreams; entries are keyed by name."""
         self.list_read_s = now_s
         with self.fleet.recording_list_changes(now_s):
-            upstreams.replace(self.fleet.roster, entries, now_s)
+            upstreams.replace_entries(self.fleet.roster, entries, now_s)
         return self.refresh(now_s)
 
     def change_upstreams(
@@ -351,7 +351,7 @@
         self.list_read_s = now_s
         with self.fleet.recording_list_changes(now_s):
             for name, entry in entries:
-                upstreams.change(self.fleet.roster, name, entry, now_s)
+                upstreams.apply_record(self.fleet.roster, name, entry, now_s)
         return self.refresh(now_s)
 
     def apply_peer_update(
@@ -379,7 +379,7 @@
     def tick(self, now_s: float) -> list[jobs.Effect]:
         """Refuses requests that waited too long and starts what it can."""
         with self.fleet.recording_list_changes(now_s):
-            upstreams.expire(self.fleet.roster, now_s)
+            upstreams.expire_entries(self.fleet.roster, now_s)
         self._crashes.settle(now_s)
         effects: list[jobs.Effect] = []
         for item in queues.expire(self.queue, now_s):
@@ -448,7 +448,7 @@
         hold_s = QUEUE_WAIT_FRACTION * job.route.objective_s
         due_s = job.arrived_s + hold_s
         if ticket.is_begun:
-            due_s = now_s + RESUME_WAIT_FRACTION * job.route.patience_s
+            due_s = now_s + RESUME_WAIT_FRACTION * job.route.caller_silence_s
         elif ticket.runs or ticket.refusals:
             due_s = now_s + hold_s / 2
         item = queues.Waiting(
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -89,10 +89,10 @@
     @classmethod
     def make(cls, spec: config.EngineSpec) -> _StepCosts:
         """Returns the costs of a service's engines."""
-        context = spec.usual_prompt + spec.usual_answer / 2
+        context = spec.typical_prompt_tokens + spec.typical_answer_tokens / 2
         return cls(
             spec.per_request_s + spec.per_token_s * context,
-            spec.chunk_tokens / spec.read_tokens_per_s,
+            spec.chunk_tokens / spec.prefill_tokens_per_s,
         )
 
 
@@ -174,7 +174,7 @@
         upstream sets or lifts a limit. Peer updates leave it unchanged.
         """
         return (
-            self.roster.changes
+            self.roster.revision
             + self.memory.release_count
             + self.backpressure.changes
         )
@@ -279,11 +279,11 @@
         """
         before = dict(self.roster.entries)
         unreadable = set(self.roster.unreadable)
-        unfit = dict(self.roster.unfit)
-        changes = self.roster.changes
+        unfit = dict(self.roster.misfits)
+        changes = self.roster.revision
         yield
         self._log_rejected_entries(unfit, unreadable)
-        if self.roster.changes == changes:
+        if self.roster.revision == changes:
             return
         self._log_new_entries(
             [e for i, e in self.roster.entries.items() if i not in before]
@@ -325,7 +325,7 @@
         self, unfit: Mapping[str, str], unreadable: set[str]
     ) -> None:
         """Logs entries that were newly rejected as invalid."""
-        for name, field in self.roster.unfit.items():
+        for name, field in self.roster.misfits.items():
             if unfit.get(name) != field:
                 self.log_events.append(
                     decisions.EntryLeftOut(
@@ -360,7 +360,7 @@
             self.record_probe(upstream_id, True, report.pace, now_s)
             return
         with self.recording_list_changes(now_s):
-            upstreams.note_restart(self.roster, upstream_id, report, now_s)
+            upstreams.apply_restart(self.roster, upstream_id, report, now_s)
         # If the entry remains, the report was of an older incarnation and the
         # upstream is probed again.
         self.health.record_inconclusive_probe(upstream_id)
@@ -423,7 +423,7 @@
         roster = self.roster
         rows = []
         for entry in roster.entries.values():
-            layers = upstreams.get_listed(roster, entry.id)
+            layers = upstreams.get_listed_layers(roster, entry.id)
             held = f"{layers.first}-{layers.last}" if layers else "none"
             if entry.id in roster.unreadable:
                 # A host that read the whole list again has no such entry.
@@ -472,8 +472,8 @@
         self, service: str
     ) -> Mapping[str, Sequence[upstreams.Upstream]]:
         """Returns a service's upstreams by data centre, sorted by its name."""
-        if self._grouped_at != self.roster.changes:
-            self._grouped_at = self.roster.changes
+        if self._grouped_at != self.roster.revision:
+            self._grouped_at = self.roster.revision
             self._grouped.clear()
         groups = self._grouped.get(service)
         if groups is None:
@@ -499,7 +499,7 @@
         size = room.compute_capacity(spec, entry) * room.USABLE_FRACTION
         step_s = spec.step_s + usage.count * costs.request_s
         slow = self.paces.get(entry.id, now_s)
-        read_s = slow * kind.read_factor * costs.chunk_s
+        read_s = slow * kind.prefill_factor * costs.chunk_s
         pass_s = spec.stride * (step_s * kind.pace * slow + read_s)
         pace = kind.pace * slow * self.health.get_slowdown(entry.id, now_s)
         return paths.Candidate(
--- a/egretspur/routing/moves.py
+++ b/egretspur/routing/moves.py
@@ -53,8 +53,10 @@
         self, upstream_id: str, layers: upstreams.Layers, now_s: float
     ) -> None:
         """Records the layers that an engine reports."""
-        listed = upstreams.get_listed(self._roster, upstream_id)
-        upstreams.learn(self._roster, upstream_id, layers, now_s)
+        listed = upstreams.get_listed_layers(self._roster, upstream_id)
+        upstreams.apply_reported_layers(
+            self._roster, upstream_id, layers, now_s
+        )
         self._changes[upstream_id] = LayerChange(layers, now_s, True, listed)
 
     def apply_peer_layers(
@@ -70,7 +72,9 @@
             if own.at_s >= now_s - update.age_s:
                 return
             del self._changes[upstream_id]
-        upstreams.learn(self._roster, upstream_id, update.layers, now_s)
+        upstreams.apply_reported_layers(
+            self._roster, upstream_id, update.layers, now_s
+        )
 
     def list_published(
         self, report_ttl_s: float, now_s: float
@@ -93,7 +97,9 @@
         }
         for upstream_id, change in self._changes.items():
             if change.is_reported:
-                upstreams.learn(self._roster, upstream_id, change.layers, now_s)
+                upstreams.apply_reported_layers(
+                    self._roster, upstream_id, change.layers, now_s
+                )
         return {
             i: upstreams.AgedLayers(m.layers, max(0.0, now_s - m.at_s))
             for i, m in self._changes.items()
@@ -114,5 +120,5 @@
         age_s = now_s - change.at_s
         if not change.is_reported:
             return age_s < LISTED_PUBLISH_S
-        listed = upstreams.get_listed(self._roster, upstream_id)
+        listed = upstreams.get_listed_layers(self._roster, upstream_id)
         return age_s < report_ttl_s and listed == change.listed
--- a/tests/admission/sharing.py
+++ b/tests/admission/sharing.py
@@ -160,7 +160,7 @@
         spent: dict[str, shared.Spent],
         named: dict[str, str],
     ) -> datagrams.PeerUpdate:
-        known = reading.Known(1, 1, 0.0)
+        known = reading.ReadState(1, 1, 0.0)
         return datagrams.PeerUpdate(
             sender.ip,
             sender.data_centre,
--- a/tests/steps/catalog_steps.py
+++ b/tests/steps/catalog_steps.py
@@ -68,18 +68,18 @@
     context.entry = attrs.evolve(
         fleets.make_upstream("l4-0", "0-20"), id=name, name=name
     )
-    upstreams.put(context.roster, context.entry, 10.0)
+    upstreams.put_entry(context.roster, context.entry, 10.0)
 
 
 @when('upstream "{other}" is listed at the address of "u"')
 def step_same_address(context: Any, other: str) -> None:
     entry = attrs.evolve(context.entry, id=other, name=other)
-    upstreams.put(context.roster, entry, 11.0)
+    upstreams.put_entry(context.roster, entry, 11.0)
 
 
 @when('the entry of "u" is removed')
 def step_removal(context: Any) -> None:
-    upstreams.drop(context.roster, "u", 12.0)
+    upstreams.remove_entry(context.roster, "u", 12.0)
 
 
 @then('only "{name}" is listed')
@@ -90,12 +90,12 @@
 @when("it is listed as draining")
 def step_draining(context: Any) -> None:
     entry = attrs.evolve(context.entry, is_draining=True)
-    upstreams.put(context.roster, entry, 10.0)
+    upstreams.put_entry(context.roster, entry, 10.0)
 
 
 @when("it is listed as ready again")
 def step_ready(context: Any) -> None:
-    upstreams.put(context.roster, context.entry, 10.0)
+    upstreams.put_entry(context.roster, context.entry, 10.0)
 
 
 @then("it is still draining")
@@ -105,22 +105,22 @@
 
 @when("the store returns and the entry is missing")
 def step_returns(context: Any) -> None:
-    upstreams.note_return(context.roster, 20.0)
-    upstreams.replace(context.roster, {}, 20.0)
+    upstreams.start_grace(context.roster, 20.0)
+    upstreams.replace_entries(context.roster, {}, 20.0)
 
 
 @then("it is kept for {kept:g} s and gone after {gone:g} s")
 def step_kept(context: Any, kept: float, gone: float) -> None:
-    upstreams.expire(context.roster, 20.0 + kept)
+    upstreams.expire_entries(context.roster, 20.0 + kept)
     assert "u" in context.roster.entries
-    upstreams.expire(context.roster, 20.0 + gone)
+    upstreams.expire_entries(context.roster, 20.0 + gone)
     assert "u" not in context.roster.entries
 
 
 @when("the entry is removed while the store is stable")
 def step_removed(context: Any) -> None:
-    upstreams.put(context.roster, context.entry, 30.0)
-    upstreams.drop(context.roster, "u", 30.0)
+    upstreams.put_entry(context.roster, context.entry, 30.0)
+    upstreams.remove_entry(context.roster, "u", 30.0)
 
 
 @then("it is gone at once")
@@ -132,7 +132,7 @@
 def step_reports(context: Any, layers: str, older: str) -> None:
     part = fleets.parse_layers(layers)
     assert part is not None
-    upstreams.learn(context.roster, "u", part, 10.0)
+    upstreams.apply_reported_layers(context.roster, "u", part, 10.0)
     step_entry(context, older, 0.5)
 
 
@@ -140,23 +140,23 @@
 def step_reports_only(context: Any, layers: str) -> None:
     part = fleets.parse_layers(layers)
     assert part is not None
-    upstreams.learn(context.roster, "u", part, 10.0)
+    upstreams.apply_reported_layers(context.roster, "u", part, 10.0)
 
 
 @then('it holds "{now}" until {kept:g} s later and "{then}" after {end:g} s')
 def step_holds_until(
     context: Any, now: str, kept: float, then: str, end: float
 ) -> None:
-    upstreams.expire(context.roster, 10.0 + kept)
+    upstreams.expire_entries(context.roster, 10.0 + kept)
     step_holds(context, now)
-    upstreams.expire(context.roster, 10.0 + end)
+    upstreams.expire_entries(context.roster, 10.0 + end)
     step_holds(context, then)
 
 
 @when('its entry says "{layers}" {seconds:g} s later')
 def step_entry(context: Any, layers: str, seconds: float) -> None:
     entry = attrs.evolve(context.entry, layers=fleets.parse_layers(layers))
-    upstreams.put(context.roster, entry, 10.0 + seconds)
+    upstreams.put_entry(context.roster, entry, 10.0 + seconds)
 
 
 @then('it holds "{layers}"')
@@ -165,7 +165,7 @@
     assert held == fleets.parse_layers(layers), held
 
 
-Result = feeds.Whole[str] | feeds.Changes[str] | feeds.Expired
+Result = feeds.FullState[str] | feeds.Changes[str] | feeds.Expired
 Answer = Result | feeds.Unavailable
 
 
@@ -191,11 +191,11 @@
     values: dict[str, str] = attrs.Factory(dict)
     contacts: list[bool] = attrs.Factory(list)
 
-    def take_whole(self, values: Mapping[str, Any]) -> None:
+    def replace_all(self, values: Mapping[str, Any]) -> None:
         """Takes the newest state."""
         self.values = dict(values)
 
-    def take_changes(self, values: tuple[tuple[str, Any], ...]) -> None:
+    def apply_changes(self, values: tuple[tuple[str, Any], ...]) -> None:
         """Takes changes."""
         for key, value in values:
             if value is None:
@@ -203,8 +203,8 @@
             else:
                 self.values[key] = value
 
-    def note_contact(self, is_back: bool) -> None:
-        """Keeps what it was told."""
+    def record_answer(self, is_back: bool) -> None:
+        """Keeps whether the source is back."""
         self.contacts.append(is_back)
 
 
@@ -223,7 +223,7 @@
         "test",
         context.source,
         context.sink,
-        lambda: feeds.Pace(0.0, 60.0),
+        lambda: feeds.Timing(0.0, 60.0),
         sleep,
     )
 
@@ -233,9 +233,9 @@
     make_feed(
         context,
         [
-            feeds.Whole({"a": "1", "b": "2"}, at(5)),
+            feeds.FullState({"a": "1", "b": "2"}, at(5)),
             feeds.Expired(),
-            feeds.Whole({"a": "1"}, at(40)),
+            feeds.FullState({"a": "1"}, at(40)),
             feeds.Changes((("c", "3"),), at(41)),
         ],
     )
@@ -256,7 +256,7 @@
 @given("a feed whose source fails {times:d} times")
 def step_fails(context: Any, times: int) -> None:
     answers: list[Answer] = [feeds.Unavailable("down")] * times
-    make_feed(context, [*answers, feeds.Whole({"a": "1"}, at(5))])
+    make_feed(context, [*answers, feeds.FullState({"a": "1"}, at(5))])
 
 
 @then("its pauses grow from {low:g} s to at most {high:g} s")
@@ -266,20 +266,20 @@
     assert max(pauses) <= high and pauses[-1] > 2 * pauses[0], pauses
 
 
-@then("the sink is told that the source is back")
+@then("the sink records that the source is back")
 def step_back(context: Any) -> None:
     assert context.sink.contacts == [True], context.sink.contacts
 
 
 @given("a host that has configuration {version:d} in force")
 def step_in_force(context: Any, version: int) -> None:
-    context.versions = config.Versions()
-    assert context.versions.take(fleets.make_config(version))
+    context.versions = config.CurrentConfig()
+    assert context.versions.update(fleets.make_config(version))
 
 
 @when("configuration {version:d} is read")
 def step_read(context: Any, version: int) -> None:
-    context.versions.take(fleets.make_config(version))
+    context.versions.update(fleets.make_config(version))
 
 
 @then("configuration {version:d} is in force")
@@ -289,7 +289,7 @@
 
 @given('a topic that was read whole up to offset {end:d} with keys "{keys}"')
 def step_newest(context: Any, end: int, keys: str) -> None:
-    context.newest = handover.Newest()
+    context.newest = handover.NewestRecords()
     records = [
         handover.Record(i, key, b"1") for i, key in enumerate(keys.split(", "))
     ]
@@ -302,7 +302,7 @@
     context.newest.put(handover.Record(11, "c", b"2"))
     # A record that changes nothing is not put.
     context.end = 13
-    context.newest.move_on(at(context.end))
+    context.newest.advance(at(context.end))
 
 
 @when("{count:d} other keys are written and dropped")
@@ -311,29 +311,29 @@
         context.newest.put(handover.Record(10 + 2 * i, f"x{i}", b"1"))
         context.newest.put(handover.Record(11 + 2 * i, f"x{i}", b""))
     context.end = 10 + 2 * count
-    context.newest.move_on(at(context.end))
+    context.newest.advance(at(context.end))
 
 
 @then("at most {count:d} changes are ever handed over")
 def step_kept_keys(context: Any, count: int) -> None:
     every = [context.newest.list_since(at(i)) for i in range(context.end + 1)]
-    changes = [len(s.records) for s in every if not s.is_whole]
+    changes = [len(s.records) for s in every if not s.is_full]
     # Those that have read less than the oldest that is kept get everything.
     assert max(changes) <= count, max(changes)
-    assert every[0].is_whole and every[12].is_whole
+    assert every[0].is_full and every[12].is_full
 
 
 @then('a host that has read up to {offset:d} is handed all of "{keys}"')
 def step_handed_all(context: Any, offset: int, keys: str) -> None:
     found = hand_over(context, offset)
-    assert found.is_whole and found.next == at(context.end), found
+    assert found.is_full and found.next == at(context.end), found
     assert [r.key for r in found.records] == keys.split(", "), found
 
 
 @then('a host that has read up to {offset:d} is handed changes "{keys}"')
 def step_handed_changes(context: Any, offset: int, keys: str) -> None:
     found = hand_over(context, offset)
-    assert not found.is_whole and found.next == at(13), found
+    assert not found.is_full and found.next == at(13), found
     named = [r.key if r.raw else f"-{r.key}" for r in found.records]
     assert ", ".join(named) == keys, found
 
@@ -360,7 +360,7 @@
         for i in range(count)
     ]
     raw = orjson.dumps({**example, "routes": routes})
-    newest = handover.Newest()
+    newest = handover.NewestRecords()
     newest.replace([handover.Record(3, "config", raw)], at(4))
     packed = newest.pack_since(None)
     assert packed is not None
@@ -371,7 +371,7 @@
     assert isinstance(found, handover.Snapshot)
     assert found.records[0].raw == raw
     newest.put(handover.Record(5, "config", b"{}"))
-    newest.move_on(at(6))
+    newest.advance(at(6))
     newer = handover.unpack_snapshot(newest.pack_since(None) or b"", 5.0)
     assert isinstance(newer, handover.Snapshot)
     assert newer.records[0].raw == b"{}"
@@ -418,7 +418,7 @@
             zlib.compress(make_snapshot('[1,"a","b"]', left='["a",1,"x"]')),
             # Cut short, and one that would fill the memory.
             zlib.compress(make_snapshot('[1,"a","b"]'))[:-6],
-            zlib.compress(b" " * (handover.MOST_UNPACKED + 1)),
+            zlib.compress(b" " * (handover.MAX_UNPACKED_BYTES + 1)),
         )
     ]
 
@@ -454,7 +454,7 @@
     def read_snapshot(self, data: bytes) -> Any:
         """Takes what a host has."""
         value = data.decode()
-        return feeds.Changes((("k", value),), at(9), is_handed=True)
+        return feeds.Changes((("k", value),), at(9), is_from_peer=True)
 
 
 @given("a source that asks {first} first")
@@ -522,7 +522,7 @@
 @then("the store was asked for all once")
 def step_asked_all(context: Any) -> None:
     assert context.topic.calls == 1
-    assert not context.res.is_handed
+    assert not context.res.is_from_peer
 
 
 @then("the store was called once")
@@ -562,15 +562,15 @@
 def step_always_fails(context: Any) -> None:
     context.source = FailingSource()
     context.feed = feeds.Feed(
-        "test", context.source, Sink(), lambda: feeds.Pace(0.0, 60.0)
+        "test", context.source, Sink(), lambda: feeds.Timing(0.0, 60.0)
     )
 
 
-@when("it is poked {times:d} times within {seconds:g} s")
+@when("it is woken {times:d} times within {seconds:g} s")
 def step_poked(context: Any, times: int, seconds: float) -> None:
     context.feed.start()
     for _ in range(times):
-        context.feed.poke()
+        context.feed.wake()
         time.sleep(seconds / times)
     context.feed.close()
     context.feed.join(5.0)
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -178,9 +178,9 @@
 class Source:
     """Changes, then whatever is asked for."""
 
-    def read_newest(self) -> feeds.Whole[str]:
+    def read_newest(self) -> feeds.FullState[str]:
         """Returns a value."""
-        return feeds.Whole({"k": "whole"}, positions.Position(1, 5))
+        return feeds.FullState({"k": "whole"}, positions.Position(1, 5))
 
     def read_changes(
         self, since: positions.Position, wait_s: float
@@ -195,13 +195,13 @@
 
     def __init__(self) -> None:
         self.wholes = 0
-        self.take_changes = FailOnce()
+        self.apply_changes = FailOnce()
 
-    def take_whole(self, values: Any) -> None:
+    def replace_all(self, values: Any) -> None:
         """Takes a whole."""
         self.wholes += 1
 
-    def note_contact(self, is_back: bool) -> None:
+    def record_answer(self, is_back: bool) -> None:
         """Nothing to do."""
 
 
@@ -210,7 +210,7 @@
     record_steps(context)
     context.sink = Sink()
     context.feed = feeds.Feed(
-        "test", Source(), context.sink, lambda: feeds.Pace(0.0, 0.01)
+        "test", Source(), context.sink, lambda: feeds.Timing(0.0, 0.01)
     )
 
 
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -285,7 +285,7 @@
 
 @then("all 5 are known and reading goes on from the first page's end")
 def step_all(context: Any) -> None:
-    assert isinstance(context.whole, feeds.Whole)
+    assert isinstance(context.whole, feeds.FullState)
     assert context.whole.values == {f"k{i}": i + 1 for i in range(5)}
     # Later pages may hold changes made meanwhile; those are read again.
     assert context.whole.next == positions.Position(0, 42)
@@ -405,7 +405,7 @@
     " {asked:g} s"
 )
 def step_patience(context: Any, patience: float, asked: float) -> None:
-    assert abs(context.route.patience_s - patience) < 1e-9
+    assert abs(context.route.caller_silence_s - patience) < 1e-9
     job = attrs.evolve(fleets.make_job("r"), route=context.route)
     stream: Any = silence_steps.Stream(job, ("part",), heard_s=10.0)
     assert not watch.is_silent(stream, 10.0 + asked - 0.01)
