--- a/egretspur/delivery/__init__.py
+++ b/egretspur/delivery/__init__.py
@@ -1,1 +1,1 @@
-"""Attempts of a request and the relay of its events."""
+"""Sends requests to upstreams and streams the answers to callers."""
--- a/egretspur/delivery/answers.py
+++ b/egretspur/delivery/answers.py
@@ -1,9 +1,10 @@
-"""What an upstream's answer to an attempt counts as: pure.
+"""Classifies an upstream's answer to an attempt; free of I/O.
 
-The first attempt and each one that resumes an answer are judged alike. Once the
-caller has a part of its answer, only events can go on with it: whatever else an
-upstream says is an attempt that failed, and none of it reaches the caller. Read
-next: `egretspur.delivery.forward` and `egretspur.delivery.events`.
+The first attempt and each one that resumes an answer follow the same rules.
+Once the caller has received part of its answer, only an event stream can
+continue it: any other answer counts as a failed attempt, and none of it
+reaches the caller. Read next: `egretspur.delivery.forward` and
+`egretspur.delivery.events`.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 
 
 class Form(enum.Enum):
-    """How an answer is passed on."""
+    """How an answer is forwarded to the caller."""
 
-    # Event by event, as they come.
+    # Event by event, as they arrive.
     EVENTS = "events"
-    # With its status, once all of it is there.
+    # With the upstream's status, once the body is complete.
     WHOLE = "whole"
 
 
 @attrs.frozen
 class Unfit:
-    """Why an answer can't go on with the one that the caller has a part of."""
+    """Why an answer can't continue the one already begun."""
 
     reason: str
 
@@ -35,13 +36,13 @@
 def judge(
     status: int, content_type: str, is_streaming: bool, has_begun: bool
 ) -> Form | Unfit:
-    """Returns how an answer is passed on, given its head.
+    """Returns how to forward an answer, given its status and headers.
 
     Args:
-        status: Of the answer.
-        content_type: As the upstream declares it; empty if it doesn't.
-        is_streaming: The route's answers are events.
-        has_begun: The caller has a part of its answer.
+        status: HTTP status.
+        content_type: Content-Type header; empty if missing.
+        is_streaming: Whether the route's answers are event streams.
+        has_begun: Whether the caller has received part of its answer.
     """
     kind = content_type.partition(";")[0].strip().lower()
     is_events = kind in ("", EVENTS_TYPE)
@@ -50,18 +51,18 @@
     if not has_begun:
         return Form.WHOLE
     if status != 200:
-        return Unfit(f"status {status} where events were to go on")
-    return Unfit(f"{kind} where events were to go on")
+        return Unfit(f"status {status} instead of the remaining events")
+    return Unfit(f"{kind} instead of the remaining events")
 
 
 def judge_end(status: int, has_begun: bool, has_brought: bool) -> Unfit | None:
-    """Returns why events that have ended are not the whole answer, if so.
+    """Returns why a finished event stream is incomplete; None if it is not.
 
     Args:
-        status: Of the answer.
-        has_begun: The caller had a part of its answer before.
-        has_brought: It has brought an event that the caller did not have.
+        status: HTTP status.
+        has_begun: Whether the caller had received events before this attempt.
+        has_brought: Whether this attempt added an event to the answer.
     """
     if has_begun and not has_brought:
-        return Unfit(f"status {status}, no events where some were missing")
+        return Unfit(f"status {status}, no events after those delivered before")
     return None
--- a/egretspur/delivery/attempts.py
+++ b/egretspur/delivery/attempts.py
@@ -1,9 +1,9 @@
-"""Merging the attempts of one request into one answer: pure.
+"""Merges the events of a request's attempts into one answer; free of I/O.
 
-An event counts only if it belongs to this request, to the current attempt and
-to the next position, and if its layers ran once and in order on the route of
-that attempt. Everything else is dropped or ends the attempt, so that late,
-repeated or crossed events never reach a caller.
+An event is accepted only if it belongs to this request, to the current attempt
+and to the next position, and if its layers ran once and in order on the path
+of that attempt. Any other event is dropped or ends the attempt, so that late,
+repeated or misrouted events never reach a caller.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Why(enum.Enum):
-    """Why an attempt ended without the whole answer."""
+    """Why an attempt ended before the answer was complete."""
 
     CROSSED = "crossed"
     GAP = "gap"
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Deliver:
-    """Give this text to the caller."""
+    """Send this text to the caller."""
 
     text: str
 
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class Finish:
-    """The answer is whole."""
+    """The answer is complete."""
 
     count: int
     load: int
@@ -50,11 +50,11 @@
 
 @attrs.frozen
 class Fault:
-    """The attempt is over; another one goes on from the position."""
+    """The attempt failed; another one resumes at the current position."""
 
     why: Why
     reason: str
-    # Upstream known to be at fault; empty if it could be any of the route.
+    # Upstream known to be at fault; empty if any on the path may be.
     upstream: str = ""
 
 
@@ -63,13 +63,14 @@
 
 @attrs.define
 class Merge:
-    """Where a request's answer stands."""
+    """The part of a request's answer received so far."""
 
     request: str
     attempt: int = 0
-    # Trail that tokens of the current attempt must carry.
+    # Upstreams and layer ranges that each token of the current attempt must
+    # report, as `engine.format_trail` writes them.
     trail: str = ""
-    # Tokens delivered; the next position is their number.
+    # Tokens delivered; their count is the next position.
     tokens: list[str] = attrs.Factory(list)
     finished: bool = False
 
@@ -82,16 +83,16 @@
 
 
 def accept(merge: Merge, event: engine.Event) -> Decision:
-    """Decides what an event means for the answer."""
+    """Checks an event and appends its token to the answer."""
     if event.request != merge.request:
         if isinstance(event, engine.ErrorEvent) and not event.request:
             return Fault(Why.ENGINE, event.kind, event.upstream)
-        # An earlier request's answer on a reused connection, for example
-        # after its caller was gone. Whatever follows on this connection is
-        # not to be trusted.
-        return Fault(Why.CROSSED, f"an event of request {event.request}")
+        # The answer of an earlier request on a reused connection, for example
+        # after its caller disconnected. Nothing that follows on this
+        # connection can be trusted.
+        return Fault(Why.CROSSED, f"event of request {event.request}")
     if event.attempt != merge.attempt:
-        return Drop(f"attempt {event.attempt} is not {merge.attempt}")
+        return Drop(f"attempt {event.attempt} instead of {merge.attempt}")
     return _accept_current(event, merge)
 
 
@@ -104,10 +105,10 @@
 def _(event: engine.TokenEvent, merge: Merge) -> Decision:
     position = len(merge.tokens)
     if event.position < position:
-        return Drop(f"position {event.position} was delivered")
+        return Drop(f"position {event.position} already delivered")
     if event.position > position:
         return Fault(
-            Why.GAP, f"position {event.position} came instead of {position}"
+            Why.GAP, f"position {event.position} instead of {position}"
         )
     if event.layers != merge.trail:
         return Fault(
@@ -121,7 +122,10 @@
 def _(event: engine.EndEvent, merge: Merge) -> Decision:
     position = len(merge.tokens)
     if event.count != position:
-        return Fault(Why.COUNT, f"the end says {event.count}, {position} came")
+        return Fault(
+            Why.COUNT,
+            f"end event counts {event.count} tokens, received {position}",
+        )
     merge.finished = True
     return Finish(event.count, event.load)
 
--- a/egretspur/delivery/completions.py
+++ b/egretspur/delivery/completions.py
@@ -1,7 +1,7 @@
-"""The callers' completions API: JSON in, JSON or server-sent events out.
+"""The completions API: JSON requests, JSON or server-sent event responses.
 
-The form is the OpenAI-style one that callers' clients already speak; two
-headers are ours, `WORKSPACE` and `PIPELINE`.
+The format is the OpenAI-style one that existing clients use, plus two headers
+of this product, `WORKSPACE` and `PIPELINE`.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 DEFAULT_MAX_TOKENS: Final = 256
 
-# Longest request id taken from a caller.
+# Longer request ids from callers are replaced by new ones.
 MAX_ID_CHARS: Final = 128
 
 EVENTS_TYPE: Final = "text/event-stream"
 
-# Bytes of an answer that may wait for a caller to take them.
+# Unread bytes of an answer above which its caller counts as gone.
 MAX_BACKLOG: Final = 1_000_000
 
 RunPrompt = Callable[[relay.Prompt, web.Request], relay.Relay]
@@ -47,8 +47,8 @@
             return _add_id(web.reply_refusal(parsed), request_id)
         prompt, is_stream = parsed
         job = self._make_relay(prompt, req)
-        # The first tokens decide the status: nothing is sent before them, so
-        # a request that fails without any gets an honest status.
+        # No header is sent before the first tokens arrive, so a request that
+        # fails before them gets an error status.
         try:
             first = job.begin()
             if isinstance(first, errors.Refusal):
@@ -70,7 +70,7 @@
 
 
 class EventBody:
-    """Server-sent events of one answer."""
+    """The server-sent events of one answer."""
 
     def __init__(
         self,
@@ -90,18 +90,21 @@
                 "model": prompt.model,
             }
         )
-        # Built once: per token only the text is encoded.
+        # Built once, so that only the text is encoded for each token.
         self._head = b"data: " + head[:-1] + b',"choices":[{"index":0,"text":'
         self._tail = b',"finish_reason":null}]}\n\n'
 
     def push(self, write: Callable[[bytes], Any]) -> None:
-        """Writes the events; returns when the answer is over."""
+        """Writes the events; returns at the end of the answer."""
 
         def write_tokens(texts: list[str]) -> None:
             if self._get_backlog() > MAX_BACKLOG:
-                # The pump serves all callers; it can't wait for this one.
-                raise relay.SlowCallerError(f"{MAX_BACKLOG} bytes not taken")
-            # One event a call: tokens that arrived together leave together.
+                # The pump thread serves all callers and must not block on
+                # this one.
+                raise relay.SlowCallerError(
+                    f"more than {MAX_BACKLOG} bytes unread"
+                )
+            # Tokens that arrived together are sent as one event.
             text = texts[0] if len(texts) == 1 else "".join(texts)
             write(self._head + orjson.dumps(text) + self._tail)
 
@@ -140,7 +143,7 @@
 def parse_prompt(
     req: web.Request, request_id: str
 ) -> tuple[relay.Prompt, bool] | errors.Refusal:
-    """Returns the prompt and whether to stream, or what is wrong."""
+    """Returns the prompt and whether to stream, or the refusal."""
     workspace = req.get_header(WORKSPACE)
     if not workspace:
         return errors.Refusal(
@@ -155,7 +158,7 @@
         return errors.Refusal(errors.ErrorKind.BAD_REQUEST, problem)
     max_tokens = data.get("max_tokens", DEFAULT_MAX_TOKENS)
     prompt = relay.Prompt(
-        # The caller's id names the answer; the internal one must be unique
+        # The response carries the caller's id; the internal id must be unique
         # even if a caller sends two requests with the same id at once.
         f"{request_id}.{uuid.uuid4().hex[:8]}",
         workspace,
@@ -170,7 +173,7 @@
 
 
 def find_problem(data: Any) -> str:
-    """Tells what is wrong with a completion's body; empty if nothing."""
+    """Returns what is invalid in a request body; empty if nothing is."""
     if not isinstance(data, dict):
         return "the body is not a JSON object"
     for name in ("model", "prompt"):
--- a/egretspur/delivery/events.py
+++ b/egretspur/delivery/events.py
@@ -1,8 +1,8 @@
-"""Server-sent events of one answer, joined over several attempts: pure.
+"""Joins the server-sent events of several attempts into one; free of I/O.
 
-Bytes are passed on as they came, but only whole events, in order and once
-each: an upstream may break off in the middle of an event, and a resumed run
-may begin with events that were delivered before.
+Bytes are forwarded unchanged, but only complete events, in order and once
+each: an upstream may disconnect in the middle of an event, and a resumed
+attempt may begin with events that were delivered before.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 import attrs
 
-# Longest event; more without an end is no stream of events.
+# Maximum bytes without the end of an event; beyond it the stream is malformed.
 MAX_EVENT: Final = 1 << 20
 
 
 class Flaw(enum.Enum):
-    """Why the bytes of an attempt can't be passed on."""
+    """Why the bytes of an attempt can't be forwarded."""
 
     GAP = "gap"
     MALFORMED = "malformed"
@@ -25,29 +25,31 @@
 
 @attrs.define
 class Merge:
-    """Where the answer stands."""
+    """The part of an answer forwarded so far."""
 
-    # Id of the last event that was passed on; None before the first.
+    # Id of the last event that was forwarded; None before the first.
     last_id: int | None = None
-    # Events passed on.
+    # Number of events forwarded.
     count: int = 0
-    # Of the attempt under way; what came before it was passed on.
+    # Of the current attempt; the events before it were forwarded.
     flaw: Flaw | None = None
+    # Bytes of the current attempt after its last complete event.
     _rest: bytes = b""
 
     def begin(self) -> None:
-        """Begins another attempt; what was not whole is dropped."""
+        """Begins another attempt; drops an incomplete event of the last."""
         self._rest = b""
         self.flaw = None
 
     def has_rest(self) -> bool:
-        """Tells whether bytes of an unfinished event are left."""
+        """Returns whether an incomplete event is buffered."""
         return bool(self._rest.strip())
 
     def feed(self, data: bytes) -> bytes | Flaw:
-        """Takes bytes of the current attempt; returns what to pass on.
+        """Takes bytes of the current attempt; returns those to forward.
 
-        Events before a flaw are passed on first: they count as passed on.
+        If valid events precede an error, returns these; the next call returns
+        the error.
         """
         self._rest += data
         passed: list[bytes] = []
@@ -66,7 +68,7 @@
     def _take(self, event: bytes, passed: list[bytes]) -> Flaw | None:
         number = _read_id(event)
         if number is None:
-            # Comments and the like belong to the attempt that is under way.
+            # Events without an id, such as comments, are forwarded unchecked.
             passed.append(event)
             return None
         if self.last_id is not None:
@@ -81,7 +83,7 @@
 
 
 def _find_end(data: bytes) -> int:
-    """Returns the end of the first event, or -1 if it isn't whole."""
+    """Returns the end of the first event, or -1 if it is incomplete."""
     plain = data.find(b"\n\n")
     crlf = data.find(b"\r\n\r\n")
     if crlf >= 0 and (plain < 0 or crlf < plain):
