--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -1,9 +1,9 @@
-"""Runs the attempts of one request and passes the answer on.
+"""Runs the attempts of one request and forwards the answer to the caller.
 
-One `Forward` a request, in the thread of the caller's connection. It decides
-nothing: `egretspur.routing.broker` says where an attempt goes and what follows
-a failure, `egretspur.delivery.answers` what an answer counts as, and
-`egretspur.delivery.events` which bytes.
+There is one `Forward` for each request, in the thread of the caller's
+connection. `egretspur.routing.broker` decides where an attempt is sent and
+what follows a failure, `egretspur.delivery.answers` whether an answer is
+usable, and `egretspur.delivery.events` which of its bytes are forwarded.
 """
 
 from __future__ import annotations
@@ -24,29 +24,29 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Final answers go out so long before the deadline; what is decided at the
-# deadline itself reaches the caller after it.
+# A timed-out request is answered this long before its deadline, since an
+# answer sent at the deadline would reach the caller after it.
 DEADLINE_MARGIN_S: Final = 0.05
 
 
 @attrs.frozen
 class Call:
-    """A caller's request, whole, in the product's terms."""
+    """A caller's complete request, independent of the platform's format."""
 
     id: str
     method: str
     # Path and query as the caller sent them.
     target: str
-    # Fields to pass on, without those of one connection and the key.
+    # Headers to forward, without hop-by-hop headers and the API key.
     headers: Mapping[str, str]
     body: bytes
-    # Event after which the caller wants its answer to go on, as sent.
+    # Id of the event after which the caller resumes, as sent.
     resume_after: str
 
 
 @attrs.frozen
 class Lost:
-    """An attempt that brought no answer, or whose answer broke off."""
+    """An attempt that returned no answer or an incomplete one."""
 
     why: jobs.Why
     reason: str
@@ -54,19 +54,19 @@
 
 
 class Answer(Protocol):
-    """An upstream's answer whose body is still to be read."""
+    """An upstream's answer whose body has not been read."""
 
     status: int
     headers: Mapping[str, str]
 
     def read_some(self) -> bytes | Lost:
-        """Returns the next bytes, waiting for them; empty at the end."""
+        """Blocks until bytes arrive and returns them; empty at the end."""
 
     def abort(self) -> None:
-        """Ends the connection and wakes whoever reads; from any thread."""
+        """Ends the connection and wakes its reader; from any thread."""
 
     def close(self) -> None:
-        """Closes the connection; from the thread that reads."""
+        """Closes the connection; from the reading thread only."""
 
 
 class Upstreams(Protocol):
@@ -80,11 +80,11 @@
         resume_after: str,
         abort: Abort,
     ) -> Answer | Lost:
-        """Sends a request and returns the beginning of its answer."""
+        """Sends a request and returns its answer, body unread."""
 
 
 class Abort:
-    """Ends whatever a request waits for, from another thread."""
+    """Aborts a request's upstream connection from another thread."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -92,7 +92,7 @@
         self.is_set = False
 
     def set(self) -> None:
-        """Aborts now, and at once whatever is armed later."""
+        """Aborts the current connection and every later one."""
         with self._lock:
             self.is_set = True
             close = self._close
@@ -100,14 +100,14 @@
             close()
 
     def fire(self) -> None:
-        """Ends what is under way; a later attempt is not affected."""
+        """Aborts the current connection only."""
         with self._lock:
             close = self._close
         if close is not None:
             close()
 
     def arm(self, close: Callable[[], None] | None) -> None:
-        """Sets what is to be closed on an abort."""
+        """Sets the function that closes the current connection."""
         with self._lock:
             self._close = close
             fire = self.is_set and close is not None
@@ -117,7 +117,7 @@
 
 @attrs.frozen
 class Whole:
-    """An answer that was read to its end, not a stream."""
+    """An answer with its complete body."""
 
     status: int
     headers: Mapping[str, str]
@@ -128,10 +128,10 @@
 
 
 class Forward:
-    """Attempts and answer of one request.
+    """Forwards one request and its answer.
 
-    `begin` returns once there is something to answer with; for a stream,
-    `run` passes on the rest; `close` is called in any case.
+    `begin` returns once the answer's status is known; for a stream, `run`
+    forwards the rest; `close` must always be called.
     """
 
     def __init__(
@@ -151,45 +151,52 @@
         self._fut: desk.DecisionFuture | None = None
         self._merge = events.Merge()
         self._answer: Answer | None = None
-        # An upstream's own word that it failed, passed on if no other attempt
-        # brings anything better.
+        # An upstream's error response, returned to the caller if every later
+        # attempt fails as well.
         self._failed: Whole | None = None
-        # Events read before the caller's answer began.
+        # Events read before the answer to the caller was begun.
         self._first = b""
+        # The caller disconnected.
         self.is_gone = False
-        # An upstream answered to the end, and not with a failure.
+        # An upstream's answer completed and was not an error.
         self._is_answered = False
-        # For the watch over silent streams.
+        # Read by the stream watch: when the attempt was sent or last received
+        # bytes, its path, and the stages of the path that are known to stall.
         self.heard_s = 0.0
         self.parts: tuple[paths.Part, ...] = ()
         self.stalled: set[str] = set()
-        # An event came in the attempt under way.
+        # The current attempt has delivered an event.
         self.has_begun = False
         # Smoothed seconds between two events.
         self.usual_gap_s = silence.USUAL_GAP_S
-        # For the log: attempts, when the first event or the answer came, when
-        # the last event came, and the longest pause between two.
+        # For the log: number of attempts, times of the first and the last
+        # event, and the longest gap between two.
         self._attempts = 0
-        # Events that the caller had before the attempt under way.
+        # Events forwarded before the current attempt.
         self._count_before = 0
         self._first_s = 0.0
         self._last_s = 0.0
         self._gap_s = 0.0
 
     def leave(self) -> None:
-        """Takes that the caller is gone; called from any thread."""
+        """Ends the request after its caller disconnected; from any thread."""
         self.is_gone = True
         self._abort.set()
         fut = self._fut
         if fut is not None:
-            _resolve(fut, errors.Refusal(errors.ErrorKind.CALLER_GONE, "gone"))
+            _resolve(
+                fut,
+                errors.Refusal(
+                    errors.ErrorKind.CALLER_GONE, "caller disconnected"
+                ),
+            )
 
     def interrupt(self) -> None:
-        """Ends the attempt under way, so that another one goes on."""
+        """Ends the current attempt, so that another one resumes the answer."""
         self._abort.fire()
 
     def begin(self) -> Whole | Answer | errors.Refusal:
-        """Returns the whole answer, the head of a stream, or a refusal."""
+        """Returns a complete answer, the start of a stream, or a refusal."""
         self._fut = self._desk.arrive(self.job)
         while True:
             decision = self._wait()
@@ -204,7 +211,7 @@
             self._end_attempt(res)
 
     def run(self, write: Write) -> errors.Refusal | None:
-        """Passes a stream on; returns why it ended early, if it did."""
+        """Forwards a stream; returns why it ended early, if it did."""
         write(self._first)
         lost: Lost | None = None
         while True:
@@ -214,7 +221,9 @@
                 self._is_answered = True
                 return None
             if self.is_gone:
-                return errors.Refusal(errors.ErrorKind.CALLER_GONE, "gone")
+                return errors.Refusal(
+                    errors.ErrorKind.CALLER_GONE, "caller disconnected"
+                )
             self._end_attempt(lost)
             decision = self._wait()
             if isinstance(decision, errors.Refusal):
@@ -226,7 +235,7 @@
             lost = res if isinstance(res, Lost) else None
 
     def close(self) -> None:
-        """Ends the request; closes what is under way."""
+        """Ends the request and closes an open connection."""
         if self._watch is not None:
             self._watch.remove(self)
         if self._answer is not None:
@@ -238,7 +247,7 @@
         """Logs how the request ended for its caller.
 
         Args:
-            status: Status of the answer that was passed on; 0 if none was.
+            status: Status of the answer that was forwarded; 0 if none was.
             refusal: Why the answer ended early, if it did.
         """
         now_s = time.monotonic()
@@ -270,11 +279,13 @@
             )
 
     def _wait(self) -> desk.Decision:
-        """Waits for the broker, the caller's leaving or the deadline."""
+        """Waits for a decision, the caller's disconnect or the deadline."""
         fut = self._fut
         assert fut is not None
         if self.is_gone:
-            return errors.Refusal(errors.ErrorKind.CALLER_GONE, "gone")
+            return errors.Refusal(
+                errors.ErrorKind.CALLER_GONE, "caller disconnected"
+            )
         left_s = self.job.deadline_s - DEADLINE_MARGIN_S - time.monotonic()
         try:
             return fut.result(max(0.0, left_s))
@@ -292,8 +303,8 @@
         self.has_begun = False
         self._count_before = self._merge.count
         self._merge.begin()
-        # Watched from before it is sent: an answer's head comes with its
-        # first event, so a stage that is dead already holds up both.
+        # Watched before the request is sent: the response headers arrive with
+        # the first event, so a stage that is already dead delays both.
         if self._watch is not None and start.parts:
             self._watch.add(self)
         res = self._upstreams.open(
@@ -306,7 +317,7 @@
         return res
 
     def _resume(self, start: jobs.Start, after: str) -> Answer | Lost:
-        """Opens an attempt that goes on with an answer which has begun."""
+        """Opens an attempt that resumes an answer already begun."""
         res = self._open(start, after)
         if isinstance(res, Lost):
             return res
@@ -327,7 +338,7 @@
         )
 
     def _read_first(self, answer: Answer) -> Whole | Answer | Lost:
-        """Reads a plain answer whole, or a stream's first event."""
+        """Reads a plain answer completely, or a stream's first event."""
         if self._judge(answer, has_begun=False) is answers.Form.WHOLE:
             body = self._read_whole(answer)
             if isinstance(body, Lost):
@@ -350,7 +361,7 @@
         return answer
 
     def _may_repeat(self, answer: Answer) -> bool:
-        """Tells whether a failure may be someone else's success."""
+        """Returns whether a failed request may be sent to another upstream."""
         return (
             answer.status >= 500
             and self.job.route.kind is not config.RouteKind.NON_IDEMPOTENT
@@ -369,7 +380,7 @@
             pieces.append(data)
 
     def _read_events(self, answer: Answer) -> bytes | Lost | None:
-        """Returns the next whole events; None at the answer's end."""
+        """Returns the next complete events; None at the end of the answer."""
         while True:
             data = answer.read_some()
             if isinstance(data, Lost):
@@ -386,7 +397,7 @@
                 return passed
 
     def _check_end(self, answer: Answer) -> Lost | None:
-        """Returns why events that have ended are not whole, if so."""
+        """Returns why a stream that ended is incomplete; None if it is not."""
         flaw = self._merge.flaw
         if flaw is not None:
             return Lost(jobs.Why.CUT, f"events: {flaw.value}")
@@ -412,7 +423,7 @@
         self._last_s = now_s
 
     def _pump(self, write: Write) -> Lost | None:
-        """Passes events on until the answer ends; None if it is whole."""
+        """Forwards events until the answer ends; None if it is complete."""
         answer = self._answer
         assert answer is not None
         while True:
@@ -426,7 +437,7 @@
             write(res)
 
     def _end_attempt(self, lost: Lost) -> None:
-        """Closes a failed attempt and asks what follows."""
+        """Closes a failed attempt and reports it to the broker."""
         if self._watch is not None:
             self._watch.remove(self)
         if self._answer is not None:
@@ -461,13 +472,13 @@
 
 
 class Watch(Protocol):
-    """Looks after streams that fell silent."""
+    """Watches streams for silence."""
 
     def add(self, forward: Forward) -> None:
-        """Begins to watch a stream."""
+        """Starts watching a stream."""
 
     def remove(self, forward: Forward) -> None:
-        """Ends the watch."""
+        """Stops watching a stream."""
 
 
 def _resolve(fut: desk.DecisionFuture, refusal: errors.Refusal) -> None:
@@ -475,6 +486,6 @@
         if not fut.done():
             fut.set_result(refusal)
     except concurrent.futures.InvalidStateError:
-        # The broker was faster; the thread sees that the caller is gone when
-        # it next writes.
-        _LOG.debug("decision came first")
+        # The broker's decision came first; the reading thread notices the
+        # disconnect at its next write.
+        _LOG.debug("caller disconnected after the broker's decision")
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -1,6 +1,6 @@
-"""From a caller's request to its job: route, workspace, limits of time.
+"""Turns a caller's request into a job: route, workspace and deadline.
 
-Refuses at once what no upstream need see. Read next:
+Requests that no upstream can serve are refused here. Read next:
 `egretspur.delivery.forward`.
 """
 
@@ -20,33 +20,35 @@
 from egretspur.delivery import forward
 from egretspur.routing import desk, jobs
 
-# Seconds after which to ask again a host that has just started.
+# Retry-After of a host that has no configuration yet.
 STARTING_S: Final = 0.5
 
-# Seconds after which to come back to another host; it is ready now.
+# Retry-After of a host that is stopping; the retry goes to another host,
+# which is ready.
 STOPPING_S: Final = 0.05
 
 
 @attrs.frozen
 class Inbound:
-    """A caller's request as it came."""
+    """A caller's request as received."""
 
     call: forward.Call
     host: str
     # Path without the query.
     path: str
-    # Empty if the caller sent none.
+    # API key; empty if the caller sent none.
     key: str
-    # How long the caller waits, in seconds; None if it doesn't say.
+    # Seconds that the caller waits for its answer; None if not stated.
     patience_s: float | None
-    # Sizes of a request for a model, in tokens; 0 for others.
+    # Sizes of a request for a model, in tokens; 0 for others: the prompt, the
+    # largest answer allowed and the answer expected.
     prompt: int
     longest: int
     estimate: int
 
 
 class AnswerCutError(ConnectionAbortedError):
-    """An answer ends early; the connection must not look complete."""
+    """A streamed answer ended early; aborts the caller's connection."""
 
 
 class Intake:
@@ -69,19 +71,19 @@
         self.in_flight = 0
 
     def configure(self, cfg: config.Configuration) -> None:
-        """Takes a configuration; it holds for requests that come later."""
+        """Sets the configuration of later requests."""
         self._cfg = cfg
 
     def stop(self) -> None:
-        """Refuses requests from now on; those under way go on.
+        """Refuses new requests; running ones continue.
 
-        Symptom without it: a request that comes on a kept connection late in
-        a stop is begun, and cut when the process must end.
+        Otherwise a request that arrives late in a stop on a keep-alive
+        connection is started, and cut off when the process exits.
         """
         self._is_stopping = True
 
     def serve(self, inbound: Inbound, req: web.Request) -> web.Response:
-        """Answers one request."""
+        """Serves one request."""
         job = self.make_job(inbound, time.monotonic())
         if isinstance(job, errors.Refusal):
             decisions.record(
@@ -120,7 +122,7 @@
     def make_job(
         self, inbound: Inbound, now_s: float
     ) -> jobs.Job | errors.Refusal:
-        """Returns the job of a request, or why there is none."""
+        """Returns the job of a request, or why it is refused."""
         if self._is_stopping:
             return errors.Refusal(
                 errors.ErrorKind.STOPPING, "stop signal", STOPPING_S
@@ -179,9 +181,10 @@
 
 
 def _compute_fingerprint(inbound: Inbound, workspace: config.Workspace) -> str:
-    """Returns by what the request is known again.
+    """Returns the fingerprint that is the same for retries of a request.
 
-    A workspace may have several keys; on public routes any caller may send it.
+    It contains the workspace instead of the API key, since a workspace may
+    have several keys and public routes need none.
     """
     call = inbound.call
     return fingerprint.compute(
@@ -206,7 +209,7 @@
 
 
 class _StreamBody:
-    """A stream that is pushed to the caller."""
+    """The body of a streamed answer."""
 
     def __init__(
         self, run: forward.Forward, end: Callable[[forward.Forward], None]
--- a/egretspur/delivery/pump.py
+++ b/egretspur/delivery/pump.py
@@ -1,8 +1,8 @@
-"""The pump: one thread that reads the streams of all requests.
+"""Reads the streams of all requests in one thread, the pump.
 
-A thread for each stream would spend most of its time being woken: at 20
-events a second a stream, the switch costs more than reading, checking and
-writing the event. The pump reads whatever has arrived on any stream and hands
+A thread for each stream would spend most of its time on context switches: at
+20 events per second and stream, a switch costs more than reading, checking and
+writing the event. The pump reads whatever has arrived on any stream and passes
 it to that stream's consumer; see docs/design/relay.md for the figures.
 """
 
@@ -21,34 +21,35 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Pause between two rounds, in seconds: events that arrive within it are
-# handled in one wake-up. A token waits for half of it on average, against the
-# 51 ms allowed between tokens.
+# Sleep after each round of reads, so that events which arrive close together
+# are handled in one wake-up. It delays a token by half of it on average, of
+# the 51 ms allowed between tokens.
 ROUND_S: Final = 0.004
 
-# Seconds between two looks for silent streams.
+# Interval between checks for silent streams.
 SILENCE_CHECK_S: Final = 0.05
 
 
 class Consumer(Protocol):
-    """Takes the events of one stream, in the pump's thread."""
+    """Handles the events of one stream, in the pump's thread."""
 
     def take(self, events: list[engine.Event]) -> bool:
-        """Takes events; returns False once it wants no more."""
+        """Handles events; returns whether to read more."""
 
 
 @attrs.define(eq=False)
 class _Entry:
     stream: engine.EventStream
     consumer: Consumer
+    # When the stream was last read.
     heard_s: float
-    # Longest silence before the next event.
+    # Maximum seconds until the next event.
     bound_s: float
     done: threading.Event = attrs.Factory(threading.Event)
     broken: engine.Broken | None = None
 
     def finish(self, broken: engine.Broken | None) -> None:
-        """Wakes whoever handed it in."""
+        """Wakes the thread that waits in `Pump.run`."""
         self.broken = broken
         self.done.set()
 
@@ -75,7 +76,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Stops the thread; streams still open count as broken."""
+        """Stops the thread; open streams end as broken."""
         self._stop = True
         self._waker.send(b"x")
         self._thread.join(timeout=1.0)
@@ -83,15 +84,15 @@
     def run(
         self, stream: engine.EventStream, consumer: Consumer, first_s: float
     ) -> engine.Broken | None:
-        """Passes a stream's events to its consumer until it is over.
+        """Passes a stream's events to its consumer until the stream ends.
 
         Args:
-            stream: Read by the pump alone until this returns.
+            stream: Must not be read by other threads until this returns.
             consumer: Called in the pump's thread; must not block.
-            first_s: Longest silence in seconds before the next event.
+            first_s: Maximum seconds until the next event.
 
         Returns:
-            Why the stream broke; None if the consumer wants no more.
+            Why the stream broke; None if the consumer stopped it.
         """
         entry = _Entry(stream, consumer, time.monotonic(), first_s)
         stream.bound_reads()
@@ -120,15 +121,15 @@
             if ready:
                 time.sleep(ROUND_S)
         for entry in list(self._entries):
-            self._end(entry, engine.Broken("the router stops", True))
+            self._end(entry, engine.Broken("router is stopping", True))
 
     def _take_added(self) -> None:
-        """Begins to read what was added, until there is nothing more.
+        """Registers added streams until there are none left.
 
-        Whether the thread may rest is looked at last: an answer that lies
-        whole in its buffer is over before the next rest. Symptom were it
-        looked at before: the thread rests, nobody wakes it, and the next
-        answers stand still for ever.
+        The idle flag is set last: a stream whose answer is completely buffered
+        ends while it is registered. If the flag were set before, the thread
+        would sleep while marked busy, nobody would wake it, and later answers
+        would hang for ever.
         """
         while True:
             with self._lock:
@@ -145,13 +146,13 @@
                     entry.stream.sock, selectors.EVENT_READ, entry
                 )
             except (KeyError, OSError, ValueError) as exc:
-                # One stream's trouble must not stop all the others.
-                _LOG.info("stream not watched", extra={"reason": repr(exc)})
+                # A failure of one stream must not stop the others.
+                _LOG.info("stream not registered", extra={"reason": repr(exc)})
                 entry.finish(engine.Broken(repr(exc), maybe_started=True))
                 continue
             self._entries.add(entry)
-            # Bytes may have been read into the buffer together with the
-            # response's head; they don't make the socket readable.
+            # Bytes that were read together with the response headers are in
+            # the buffer and don't make the socket readable.
             if entry.stream.has_buffered():
                 self._read(entry)
 
@@ -165,16 +166,17 @@
         try:
             wants_more = entry.consumer.take(events)
         except Exception as exc:
-            # One stream's trouble must not stop all the others.
-            _LOG.exception("consumer failed")
+            # A failure of one stream must not stop the others.
+            _LOG.exception("stream consumer failed")
             self._end(entry, engine.Broken(repr(exc), maybe_started=True))
             return
         if not wants_more:
             self._end(entry, None)
         elif entry.stream.ended:
-            self._end(entry, engine.Broken("no end", maybe_started=True))
+            self._end(entry, engine.Broken("no end event", maybe_started=True))
         elif entry.stream.broken is not None:
-            # At once: its connection may be used for another answer by now.
+            # Without another read: another answer may already use the
+            # connection.
             self._end(entry, entry.stream.broken)
 
     def _end_silent(self, now_s: float) -> None:
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -1,10 +1,10 @@
-"""The relay: runs the attempts of one request and passes its tokens on.
+"""Runs the attempts of one request and relays its tokens to the caller.
 
-One instance per request. The thread of the caller's connection opens attempts
-and waits; the tokens in between are read, checked and written by the one
-thread of `egretspur.delivery.pump`. The relay decides nothing:
-`egretspur.delivery.attempts` says what an event means and
-`egretspur.routing.dispatch` where the next attempt goes.
+There is one `Relay` for each request. The thread of the caller's connection
+opens attempts and waits; after the first tokens, the single thread of
+`egretspur.delivery.pump` reads, checks and writes them.
+`egretspur.delivery.attempts` decides whether an event is accepted and
+`egretspur.routing.dispatch` where the next attempt is sent.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Seconds between two looks at whether a waiting caller is gone.
+# Interval between checks whether a waiting caller has disconnected.
 GONE_CHECK_S: Final = 0.1
 
-# Seconds of a stream after which its progress is reported, so that a link
-# that turned slow loses work while long answers still run.
+# Interval of progress reports, so that a link that has become slow gets less
+# work while long answers still run.
 PROGRESS_S: Final = 1.0
 
 
@@ -43,7 +43,7 @@
     model: str
     text: str
     max_tokens: int
-    # The same for the same request under another id.
+    # The same for retries of a request under other ids.
     fingerprint: str = ""
 
 
@@ -60,7 +60,7 @@
 
 
 class Canceller:
-    """Tells stages to drop an attempt, in the background."""
+    """Cancels attempts at their stages, in background threads."""
 
     def __init__(self, engines: engine.EngineClient) -> None:
         self._engines = engines
@@ -69,7 +69,7 @@
         )
 
     def close(self) -> None:
-        """Sends what is queued and stops."""
+        """Sends the queued cancellations and stops."""
         self._pool.shutdown(wait=True)
 
     def cancel(self, grant: requests.Grant, attempt: int) -> None:
@@ -81,27 +81,27 @@
 
 
 class SlowCallerError(Exception):
-    """The caller does not take its answer; it is treated as gone."""
+    """The caller reads too slowly and is treated as disconnected."""
 
 
 @attrs.frozen
 class Tools:
-    """What all relays of a router share."""
+    """Objects shared by all relays of a router."""
 
     traffic: traffics.Traffic
     engines: engine.EngineClient
     canceller: Canceller
     pump: pumps.Pump
-    # Longest silence in seconds before an attempt's first event.
+    # Maximum seconds until an attempt's first event.
     first_event_s: float
 
 
 class Relay:
-    """Attempts and answer of one request.
+    """Relays one request and its answer.
 
-    `begin` runs until the first tokens are there, so that a request without
-    any gets an honest status; `run` passes on the rest; `close` is called in
-    any case and cancels whatever is still under way at every stage.
+    `begin` runs until the first tokens arrive, so that a request that fails
+    before them gets an error status; `run` relays the rest; `close` must
+    always be called and cancels an unfinished attempt at every stage.
     """
 
     def __init__(
@@ -115,18 +115,19 @@
         self._traffic = tools.traffic
         self._is_caller_gone = is_caller_gone
         self._merge = attempts.Merge(prompt.id)
-        # The attempt under way, to be cancelled if the caller leaves.
+        # Path of the current attempt, to cancel it if the caller disconnects.
         self._grant: requests.Grant | None = None
         self._stream: engine.EventStream | None = None
-        # Where tokens go; set while the pump runs a stream.
+        # Sends tokens to the caller; set before the pump runs a stream.
         self._write: Write | None = None
         self._fault: attempts.Fault | None = None
         self._caller_error: Exception | None = None
+        # Time and token count of the last progress report.
         self._marked_s = 0.0
         self._marked_tokens = 0
-        # Position at which the attempt under way began.
+        # Position at which the current attempt began.
         self._first_position = 0
-        # Failure that followed the tokens which `begin` returned.
+        # Failure after the tokens that `begin` returned, handled by `run`.
         self._pending: requests.Failure | None = None
         self.pipeline = ""
 
@@ -146,14 +147,13 @@
             if failure is None and self._merge.finished and not texts:
                 return self._make_whole()
             if texts:
-                # What failed after these tokens is met again by `run`.
                 self._pending = failure
                 return texts
             if failure is not None:
                 fut = self._traffic.fail(failure)
 
     def run(self, write: Write) -> Result:
-        """Passes on the rest of the answer; returns how it ended."""
+        """Relays the rest of the answer; returns how it ended."""
         self._write = write
         failure = self._pending
         while True:
@@ -167,12 +167,12 @@
             failure = self._open(decision)
 
     def close(self) -> None:
-        """Ends the request; cancels an attempt that is not over."""
+        """Ends the request; cancels an unfinished attempt."""
         self._drop_attempt()
         self._traffic.finish(self._prompt.id, self._merge.finished)
 
     def take(self, events: list[engine.Event]) -> bool:
-        """Takes events from the pump; False once the attempt is over."""
+        """Handles events from the pump; False once the attempt has ended."""
         texts: list[str] = []
         self._fault = self._accept(events, texts)
         if texts:
@@ -197,11 +197,12 @@
             except concurrent.futures.TimeoutError:
                 if self._is_caller_gone():
                     return errors.Refusal(
-                        errors.ErrorKind.CALLER_GONE, "while waiting"
+                        errors.ErrorKind.CALLER_GONE,
+                        "caller disconnected while waiting",
                     )
 
     def _open(self, grant: requests.Grant) -> requests.Failure | None:
-        """Starts an attempt; returns its failure if it can't be."""
+        """Starts an attempt; returns its failure if it can't start."""
         call = self._make_call(grant)
         self._grant = grant
         opened = self._tools.engines.run(call)
@@ -232,11 +233,11 @@
         return None
 
     def _run_stream(self) -> requests.Failure | None:
-        """Lets the pump run the stream; returns the attempt's failure."""
+        """Runs the stream in the pump; returns the attempt's failure."""
         grant, stream = self._grant, self._stream
         assert grant is not None and stream is not None
-        # The long bound is for the prefill; once this attempt has given a
-        # token, a stage that falls silent must be noticed by the short one.
+        # The long limit covers the prefill; after this attempt's first token
+        # the short one applies, so that a silent stage is noticed.
         bound_s = stream.between_s
         if len(self._merge.tokens) == self._first_position:
             bound_s = self._tools.first_event_s
@@ -251,7 +252,7 @@
         return None
 
     def _finish_stream(self) -> None:
-        """Gives back the connection of a finished attempt."""
+        """Returns the connection of a finished attempt to its pool."""
         stream, self._stream, self._grant = self._stream, None, None
         if stream is not None:
             stream.finish()
@@ -309,10 +310,11 @@
     def _end_broken(
         self, grant: requests.Grant, broken: engine.Broken
     ) -> requests.Failure:
-        """Describes an attempt whose connection failed.
+        """Ends an attempt whose connection failed.
 
-        Refused or reset, the last stage is at fault. Silent, any stage may
-        be: the last one has nothing to say when an earlier one is dead.
+        If the connection was refused or reset, the last stage is at fault. If
+        it was silent, any stage may be: the last one sends nothing when an
+        earlier one is dead.
         """
         blamed: tuple[str, ...] = ()
         if broken.upstream_failed:
@@ -382,7 +384,7 @@
         )
 
     def _drop_attempt(self) -> None:
-        """Closes the stream of an unfinished attempt and cancels its work."""
+        """Closes an unfinished attempt's stream and cancels its work."""
         if self._stream is not None:
             self._stream.discard()
             self._stream = None
--- a/egretspur/delivery/silence.py
+++ b/egretspur/delivery/silence.py
@@ -1,11 +1,11 @@
-"""Finds the stage that holds up streams, from the streams themselves: pure.
-
-The pattern: events of an answer come every 30 to 50 ms. When a stage dies or
-slows down, all streams over it fall silent in the same moment, while those
-beside it go on; an engine's report tells so some hundred milliseconds later.
-Callers count a pause of 0.2 s as late, so the report comes too late for all of
-them. Paths are known, so the stages that silent streams share, and over which
-no event has come since, are few; a question to each of those tells the rest.
+"""Finds the stage that stalls streams from the streams' gaps; free of I/O.
+
+Events of an answer arrive every 30 to 50 ms. When a stage dies or slows down,
+all streams over it fall silent at the same moment, while other streams
+continue. Callers count a gap of 0.2 s as late, but an engine's report shows
+the stall only some hundred milliseconds after it began, too late for all of
+them. The paths are known, so few stages are shared by the silent streams and
+have passed no event since; `egretspur.delivery.watch` probes each of these.
 """
 
 from __future__ import annotations
@@ -16,30 +16,31 @@
 
 import attrs
 
-# A stream counts as silent after so many of its usual gaps, and at least so
-# long: reading the prompts of others lengthens single gaps to twice the usual.
-# A false alarm costs a few questions, a later one the pause that is allowed.
+# A stream counts as silent after this many of its usual gaps and at least this
+# time. Other requests' prefills lengthen single gaps to twice the usual. A
+# false alarm costs a few probes; a later alarm uses up the gap allowed.
 GAPS: Final = 2.0
 LEAST_S: Final = 0.05
 
-# A stream that is silent alone, since one stream may also wait for memory.
+# The same for a single silent stream: the limits are higher, since it may also
+# wait for memory.
 ALONE_GAPS: Final = 5.0
 ALONE_LEAST_S: Final = 0.13
 
-# Streams that must be silent together for a stage to be suspected early.
+# Number of silent streams from which their shared stages are suspected at the
+# lower limits.
 TOGETHER: Final = 3
 
-# Gap assumed of a stream until its own is known, in seconds, and the weight of
-# a new one.
+# Initial estimate of a stream's usual gap, and the weight of a new gap in it.
 USUAL_GAP_S: Final = 0.04
 GAP_WEIGHT: Final = 0.2
 
 
 @attrs.frozen
 class Heard:
-    """What was heard of one stream."""
+    """Recent activity of one stream."""
 
-    # Ids of the stages that it runs over.
+    # Ids of the stages on its path.
     stages: tuple[str, ...]
     # Seconds since its last event.
     silent_s: float
@@ -48,10 +49,10 @@
 
 
 def find_suspects(streams: Sequence[Heard]) -> set[str]:
-    """Returns the stages that may hold up streams.
+    """Returns the ids of the stages that may stall streams.
 
     Args:
-        streams: All that have had an event on the path that they run over.
+        streams: All streams that have had an event on their current path.
     """
     shortest: dict[str, float] = {}
     for stream in streams:
@@ -74,7 +75,7 @@
 
 
 def smooth_gap(old_s: float, gap_s: float) -> float:
-    """Returns a stream's usual gap after one more."""
+    """Returns a stream's smoothed gap, updated with a new one."""
     return old_s + GAP_WEIGHT * (gap_s - old_s)
 
 
@@ -83,10 +84,10 @@
 
 
 def _list_quiet(stream: Heard, shortest: dict[str, float]) -> Iterable[str]:
-    """Returns a stream's stages over which no other had an event since.
+    """Returns a stream's stages over which no stream has had an event since.
 
-    Half of its silence: what passed a stage just before it died may arrive
-    later than the silent stream's own last event.
+    Only the second half of its silence counts: events that passed a stage just
+    before it died may arrive after the silent stream's own last event.
     """
     bound_s = stream.silent_s / 2
     return [s for s in stream.stages if shortest[s] >= bound_s]
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -1,11 +1,11 @@
-"""Looks after streams that fell silent, and moves them off dead stages.
-
-Symptom without it: a stage dies, and every answer that runs over it stands
-still for two seconds until the platform cuts it, by when its caller has turned
-away. Streams that share a stage fall silent together
-(`egretspur.delivery.silence`): the stages that may be the cause are asked at
-once, and one that does not answer while others do is left. What that doesn't
-find, the first engine of a path knows some hundred milliseconds later.
+"""Watches streams for silence and reroutes them around dead stages.
+
+Otherwise, when a stage dies, every answer over it stalls for two seconds until
+the platform cuts it, by which time its caller has disconnected. Streams that
+share a stage fall silent together (`egretspur.delivery.silence`): the stages
+that may be the cause are probed at once, and streams are rerouted around those
+that do not answer while others do. A stalled stage that this misses is in the
+report of the path's first engine some hundred milliseconds later.
 """
 
 from __future__ import annotations
@@ -21,76 +21,81 @@
 from egretspur.delivery import forward, silence
 from egretspur.routing import desk, paths
 
-# Seconds between two looks where a stream is nearly silent, and where all were
-# heard of late: less than the shortest silence that counts.
+# Shortest interval between checks, used when a stream is nearly silent, and
+# longest one, used when all had recent events: below the shortest silence that
+# counts.
 PERIOD_S: Final = 0.02
 REST_S: Final = 0.045
 
-# While there is no stream one is looked for so rarely; a new one is told.
+# Longest wait for a first stream; `add` ends it early.
 IDLE_S: Final = 1.0
 
-# What another host finds failing is looked at for so long.
+# Time for which an upstream that another host reported failing is suspected.
 HEARD_S: Final = 0.6
 
-# A stream without an event for so long is asked about, where its route does
-# not tell which pause is late. Events come every few tens of milliseconds.
+# Silence after which the first engine of a stream's path is asked for its
+# report, if the stream's route sets no longest gap. Events arrive every few
+# tens of milliseconds.
 SILENT_S: Final = 0.3
 
-# Before the first event the prompt is read: 50 ms as a rule, 200 ms in a
-# burst. A request moved by then still has its first event within 0.5 s.
+# The same before the first event. The prefill takes 50 ms as a rule and 200 ms
+# in a burst; a request rerouted after this time still has its first event
+# within 0.5 s.
 SILENT_FIRST_S: Final = 0.25
 
-# Part of its caller's patience after which a silent stream that can't be moved
-# is ended, so that it goes on over another path before its caller turns away.
+# Fraction of the caller's patience after which a silent attempt that can't be
+# rerouted is ended, so that another one resumes the answer before the caller
+# disconnects.
 HOPELESS_PART: Final = 0.55
 
-# Seconds between two questions to one engine.
+# Minimum interval between two requests for an engine's report.
 ASK_S: Final = 0.25
 
-# Suspected stages asked at the same moment. A path has some ten; where more
-# are silent, it is this host that hears nobody.
+# Maximum number of suspected stages probed at once. A path has about ten; if
+# more are silent, this host itself is slow or cut off.
 MOST_ASKED: Final = 12
 
 
 class Engines(Protocol):
-    """Reports of engines and orders to them."""
+    """Fetches engines' reports and sends orders to engines."""
 
     def get_report(self, address: str) -> upstreams.EngineReport | str:
-        """Returns a report, or why there is none."""
+        """Returns an engine's report, or why there is none."""
 
     def peek(self, address: str) -> upstreams.EngineReport | str:
-        """Returns a report that comes at once, or why there is none."""
+        """Like `get_report`, with a short time-out."""
 
     def repath(
         self, address: str, request_id: str, parts: Sequence[paths.Part]
     ) -> str:
-        """Moves a running request; returns why it could not."""
+        """Reroutes a running request; returns why it failed, if it did."""
 
 
 class StreamWatch:
-    """See the module's docstring."""
+    """Detects silent streams in a thread and reroutes or ends them."""
 
     def __init__(
         self, to: desk.Desk, engines: Engines, is_early: bool = True
     ) -> None:
-        """Makes a watch.
+        """Creates a watch; `start` starts its thread.
 
         Args:
-            to: Where it asks for other paths.
-            engines: Where it asks and orders.
-            is_early: It looks for streams that fall silent together.
+            to: Chooses other paths.
+            engines: Fetches reports and sends orders.
+            is_early: Whether to check for streams that fall silent together.
         """
         self._desk = to
         self._is_early = is_early
         self._engines = engines
         self._lock = threading.Lock()
         self._streams: set[forward.Forward] = set()
-        # Streams that were asked to move, with the time.
+        # When each rerouted stream was rerouted.
         self._moved: dict[forward.Forward, float] = {}
+        # When a first engine was last asked for its report, by id.
         self._asked: dict[str, float] = {}
-        # When a suspected stage was last asked, by id.
+        # When a suspected stage was last probed, by id.
         self._peeked: dict[str, float] = {}
-        # What other hosts find failing, and when that was heard.
+        # When another host last reported an upstream failing, by id.
         self._heard: dict[str, float] = {}
         # Set while there are streams.
         self._has_streams = threading.Event()
@@ -103,23 +108,23 @@
         )
 
     def start(self) -> None:
-        """Starts to look."""
+        """Starts the thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stops."""
+        """Stops the thread and the probes."""
         self._stop.set()
         self._has_streams.set()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def add(self, stream: forward.Forward) -> None:
-        """Begins to watch a stream."""
+        """Starts watching a stream."""
         with self._lock:
             self._streams.add(stream)
             self._has_streams.set()
 
     def remove(self, stream: forward.Forward) -> None:
-        """Ends the watch."""
+        """Stops watching a stream."""
         with self._lock:
             self._streams.discard(stream)
             self._moved.pop(stream, None)
@@ -127,7 +132,7 @@
                 self._has_streams.clear()
 
     def hear(self, suspects: Collection[str]) -> None:
-        """Takes upstreams that other hosts find failing."""
+        """Records upstreams that other hosts report failing."""
         if suspects:
             now_s = time.monotonic()
             with self._lock:
@@ -140,14 +145,14 @@
                 self.look(time.monotonic())
 
     def _find_rest(self, now_s: float) -> float:
-        """Returns how long nothing is to be looked at, in seconds."""
+        """Returns the seconds until the next check."""
         with self._lock:
             heard_s = min((s.heard_s for s in self._streams), default=now_s)
         rest_s = heard_s + silence.LEAST_S - now_s
         return min(max(rest_s, PERIOD_S), REST_S)
 
     def look(self, now_s: float) -> None:
-        """Deals with the streams that are silent now."""
+        """Handles the streams that are silent now."""
         with self._lock:
             streams = list(self._streams)
         if self._is_early:
@@ -167,9 +172,9 @@
     def _look_early(
         self, streams: Sequence[forward.Forward], now_s: float
     ) -> None:
-        """Leaves stages that streams show to be dead, before a report does."""
+        """Finds dead stages from silent streams, before a report names them."""
         begun = [s for s in streams if s.has_begun]
-        # Nearly all looks find nobody silent, and they are many.
+        # Fast path: checks are frequent and nearly all find no silent stream.
         if all(now_s - s.heard_s <= silence.LEAST_S for s in begun):
             return
         suspects = silence.find_suspects(
@@ -208,10 +213,10 @@
     def _list_heard(
         self, streams: Sequence[forward.Forward], now_s: float
     ) -> set[str]:
-        """Returns stages of silent streams that other hosts find failing.
+        """Returns stages of silent streams that other hosts report failing.
 
-        Among many hosts each has a few streams, too few to tell by themselves
-        which stage holds them up.
+        With many hosts, each has only a few streams, too few to find the
+        stalled stage by themselves.
         """
         with self._lock:
             self._heard = {
@@ -229,9 +234,10 @@
         }
 
     def _peek(self, addresses: Mapping[str, str]) -> frozenset[str]:
-        """Asks suspected stages; returns those that are dead.
+        """Probes suspected stages; returns those that are dead.
 
-        Where none answers, it may be this host that is slow or cut off.
+        Returns none if no probe is answered: this host itself may be slow or
+        cut off.
         """
         ids = list(addresses)
         reports = self._pool.map(self._engines.peek, addresses.values())
@@ -246,7 +252,7 @@
     def _leave(
         self, dead: frozenset[str], streams: Sequence[forward.Forward]
     ) -> None:
-        """Moves all streams off dead stages, the least late ones first."""
+        """Reroutes streams around dead stages, the least late ones first."""
         for upstream_id in dead:
             self._desk.tell(desk.NoteFailed(upstream_id))
         over = [s for s in streams if dead & {p.id for p in s.parts}]
@@ -256,7 +262,7 @@
             stream.stalled |= stalled
             self._move(stream, stalled)
 
-        # Side by side: each waits for the answer to its order.
+        # In parallel, since each waits for an engine's reply.
         least_late = sorted(over, key=lambda s: -s.heard_s)
         concurrent.futures.wait(
             [self._pool.submit(leave, s) for s in least_late]
@@ -286,16 +292,16 @@
                 self._end_attempt(stream)
 
     def _end_attempt(self, stream: forward.Forward) -> None:
-        """Ends a silent attempt if another one may follow.
+        """Ends a silent attempt if a retry is allowed.
 
-        Else it is left to go on: its engine may only be slow, and if it is
-        dead the platform cuts the answer itself.
+        Otherwise it continues: its engine may only be slow, and if it is dead
+        the platform cuts the answer itself.
         """
         if self._desk.secure_repeat(stream.job.id):
             stream.interrupt()
 
     def _move(self, stream: forward.Forward, stalled: frozenset[str]) -> bool:
-        """Tells whether a stream was moved, now or a moment ago."""
+        """Reroutes a stream; returns whether it was, now or recently."""
         now_s = time.monotonic()
         moved_s = self._moved.get(stream)
         if moved_s is not None:
@@ -329,9 +335,9 @@
 def _find_witness(
     streams: Sequence[forward.Forward], suspects: set[str]
 ) -> paths.Part | None:
-    """Returns a stage over which events come, to be asked beside suspects.
+    """Returns a working stage, to be probed together with the suspects.
 
-    Where it does not answer either, it is this host that hears nobody.
+    If it does not answer either, this host itself is slow or cut off.
     """
     for stream in sorted(streams, key=lambda s: -s.heard_s):
         for part in stream.parts:
@@ -341,7 +347,7 @@
 
 
 def is_silent(stream: forward.Forward, now_s: float) -> bool:
-    """Tells whether a stream has had no event for too long."""
+    """Returns whether a stream has had no event for too long."""
     bound_s = SILENT_FIRST_S
     if stream.has_begun:
         bound_s = stream.job.route.gap_s or SILENT_S
@@ -349,5 +355,5 @@
 
 
 def _get_hopeless_s(stream: forward.Forward) -> float:
-    """Returns how long a stream may be silent before it is ended."""
+    """Returns the seconds of silence after which an attempt is ended."""
     return HOPELESS_PART * stream.job.route.patience_s
