--- a/egretspur/delivery/attempts.py
+++ b/egretspur/delivery/attempts.py
@@ -93,15 +93,15 @@
         return Fault(Why.CROSSED, f"event of request {event.request}")
     if event.attempt != merge.attempt:
         return Drop(f"attempt {event.attempt} instead of {merge.attempt}")
-    return _accept_current(event, merge)
+    return _apply_current(event, merge)
 
 
 @functools.singledispatch
-def _accept_current(event: object, merge: Merge) -> Decision:
+def _apply_current(event: object, merge: Merge) -> Decision:
     raise TypeError(f"unknown event {event!r}")
 
 
-@_accept_current.register
+@_apply_current.register
 def _(event: engine.TokenEvent, merge: Merge) -> Decision:
     position = len(merge.tokens)
     if event.position < position:
@@ -118,7 +118,7 @@
     return Deliver(event.text)
 
 
-@_accept_current.register
+@_apply_current.register
 def _(event: engine.EndEvent, merge: Merge) -> Decision:
     position = len(merge.tokens)
     if event.count != position:
@@ -130,6 +130,6 @@
     return Finish(event.count, event.load)
 
 
-@_accept_current.register
+@_apply_current.register
 def _(event: engine.ErrorEvent, merge: Merge) -> Decision:
     return Fault(Why.ENGINE, event.kind, event.upstream)
--- a/egretspur/delivery/events.py
+++ b/egretspur/delivery/events.py
@@ -34,16 +34,16 @@
     # Of the current attempt; the events before it were forwarded.
     flaw: Flaw | None = None
     # Bytes of the current attempt after its last complete event.
-    _rest: bytes = b""
+    _buffer: bytes = b""
 
     def begin(self) -> None:
         """Begins another attempt; drops an incomplete event of the last."""
-        self._rest = b""
+        self._buffer = b""
         self.flaw = None
 
     def has_rest(self) -> bool:
         """Returns whether an incomplete event is buffered."""
-        return bool(self._rest.strip())
+        return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> bytes | Flaw:
         """Takes bytes of the current attempt; returns those to forward.
@@ -51,21 +51,21 @@
         If valid events precede an error, returns these; the next call returns
         the error.
         """
-        self._rest += data
+        self._buffer += data
         passed: list[bytes] = []
         while self.flaw is None:
-            end = _find_end(self._rest)
+            end = _find_end(self._buffer)
             if end < 0:
                 break
-            event, self._rest = self._rest[:end], self._rest[end:]
-            self.flaw = self._take(event, passed)
-        if len(self._rest) > MAX_EVENT:
+            event, self._buffer = self._buffer[:end], self._buffer[end:]
+            self.flaw = self._accept_event(event, passed)
+        if len(self._buffer) > MAX_EVENT:
             self.flaw = Flaw.MALFORMED
         if self.flaw is not None and not passed:
             return self.flaw
         return b"".join(passed)
 
-    def _take(self, event: bytes, passed: list[bytes]) -> Flaw | None:
+    def _accept_event(self, event: bytes, passed: list[bytes]) -> Flaw | None:
         number = _read_id(event)
         if number is None:
             # Events without an id, such as comments, are forwarded unchecked.
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -153,9 +153,9 @@
         self._answer: Answer | None = None
         # An upstream's error response, returned to the caller if every later
         # attempt fails as well.
-        self._failed: Whole | None = None
+        self._error_answer: Whole | None = None
         # Events read before the answer to the caller was begun.
-        self._first = b""
+        self._first_events = b""
         # The caller disconnected.
         self.is_gone = False
         # An upstream's answer completed and was not an error.
@@ -168,7 +168,7 @@
         # The current attempt has delivered an event.
         self.has_begun = False
         # Smoothed seconds between two events.
-        self.usual_gap_s = silence.USUAL_GAP_S
+        self.usual_gap_s = silence.INITIAL_GAP_S
         # For the log: number of attempts, times of the first and the last
         # event, and the longest gap between two.
         self._attempts = 0
@@ -201,7 +201,7 @@
         while True:
             decision = self._wait()
             if isinstance(decision, errors.Refusal):
-                return self._failed or decision
+                return self._error_answer or decision
             opened = self._open(decision, self.call.resume_after)
             res: Whole | Answer | Lost = opened
             if not isinstance(opened, Lost):
@@ -212,11 +212,11 @@
 
     def run(self, write: Write) -> errors.Refusal | None:
         """Forwards a stream; returns why it ended early, if it did."""
-        write(self._first)
+        write(self._first_events)
         lost: Lost | None = None
         while True:
             if lost is None:
-                lost = self._pump(write)
+                lost = self._forward_events(write)
             if lost is None:
                 self._is_answered = True
                 return None
@@ -290,9 +290,9 @@
         try:
             return fut.result(max(0.0, left_s))
         except concurrent.futures.TimeoutError:
-            return self._make_late("waiting for an upstream")
+            return self._make_timeout("waiting for an upstream")
 
-    def _make_late(self, reason: str) -> errors.Refusal:
+    def _make_timeout(self, reason: str) -> errors.Refusal:
         return errors.Refusal(errors.ErrorKind.TIMED_OUT, reason)
 
     def _open(self, start: jobs.Start, after: str) -> Answer | Lost:
@@ -321,12 +321,12 @@
         res = self._open(start, after)
         if isinstance(res, Lost):
             return res
-        form = self._judge(res, has_begun=True)
+        form = self._classify(res, has_begun=True)
         if isinstance(form, answers.Unfit):
             return Lost(jobs.Why.FAILED, form.reason)
         return res
 
-    def _judge(
+    def _classify(
         self, answer: Answer, has_begun: bool
     ) -> answers.Form | answers.Unfit:
         fields = {n.lower(): v for n, v in answer.headers.items()}
@@ -339,35 +339,35 @@
 
     def _read_first(self, answer: Answer) -> Whole | Answer | Lost:
         """Reads a plain answer completely, or a stream's first event."""
-        if self._judge(answer, has_begun=False) is answers.Form.WHOLE:
-            body = self._read_whole(answer)
+        if self._classify(answer, has_begun=False) is answers.Form.WHOLE:
+            body = self._read_body(answer)
             if isinstance(body, Lost):
                 return body
             whole = Whole(answer.status, answer.headers, body)
-            if answer.status == 200 or not self._may_repeat(answer):
+            if answer.status == 200 or not self._may_retry(answer):
                 self._is_answered = answer.status < 500
                 self._desk.tell(desk.Answered(self.job.id))
                 return whole
-            self._failed = whole
+            self._error_answer = whole
             return Lost(jobs.Why.FAILED, f"status {answer.status}")
-        while not self._first:
+        while not self._first_events:
             res = self._read_events(answer)
             if isinstance(res, Lost):
                 return res
             if res is None:
                 break
-            self._first += res
+            self._first_events += res
         self._desk.tell(desk.Answered(self.job.id))
         return answer
 
-    def _may_repeat(self, answer: Answer) -> bool:
+    def _may_retry(self, answer: Answer) -> bool:
         """Returns whether a failed request may be sent to another upstream."""
         return (
             answer.status >= 500
             and self.job.route.kind is not config.RouteKind.NON_IDEMPOTENT
         )
 
-    def _read_whole(self, answer: Answer) -> bytes | Lost:
+    def _read_body(self, answer: Answer) -> bytes | Lost:
         pieces: list[bytes] = []
         while True:
             data = answer.read_some()
@@ -393,7 +393,7 @@
                 return Lost(jobs.Why.CUT, f"events: {passed.value}")
             if passed:
                 self.has_begun = True
-                self._note_event()
+                self._record_event()
                 return passed
 
     def _check_end(self, answer: Answer) -> Lost | None:
@@ -409,7 +409,7 @@
         )
         return Lost(jobs.Why.FAILED, unfit.reason) if unfit else None
 
-    def _note_event(self) -> None:
+    def _record_event(self) -> None:
         now_s = self.heard_s
         if not self._first_s:
             self._first_s = now_s
@@ -422,7 +422,7 @@
                 self._desk.tell(desk.Suspect(ids))
         self._last_s = now_s
 
-    def _pump(self, write: Write) -> Lost | None:
+    def _forward_events(self, write: Write) -> Lost | None:
         """Forwards events until the answer ends; None if it is complete."""
         answer = self._answer
         assert answer is not None
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -96,7 +96,7 @@
                 )
             )
             return web.reply_refusal(job)
-        self._record(job)
+        self._record_admitted(job)
         run = forward.Forward(
             inbound.call, job, self._desk, self._upstreams, self._watch
         )
@@ -158,7 +158,7 @@
             fingerprint=_compute_fingerprint(inbound, workspace),
         )
 
-    def _record(self, job: jobs.Job) -> None:
+    def _record_admitted(self, job: jobs.Job) -> None:
         version = self._cfg.version if self._cfg else 0
         decisions.record(
             decisions.RequestAdmitted(
--- a/egretspur/delivery/pump.py
+++ b/egretspur/delivery/pump.py
@@ -24,10 +24,10 @@
 # Sleep after each round of reads, so that events which arrive close together
 # are handled in one wake-up. It delays a token by half of it on average, of
 # the 51 ms allowed between tokens.
-ROUND_S: Final = 0.004
+ROUND_SLEEP_S: Final = 0.004
 
 # Interval between checks for silent streams.
-SILENCE_CHECK_S: Final = 0.05
+SILENCE_CHECK_INTERVAL_S: Final = 0.05
 
 
 class Consumer(Protocol):
@@ -42,9 +42,9 @@
     stream: engine.EventStream
     consumer: Consumer
     # When the stream was last read.
-    heard_s: float
+    last_read_s: float
     # Maximum seconds until the next event.
-    bound_s: float
+    max_silence_s: float
     done: threading.Event = attrs.Factory(threading.Event)
     broken: engine.Broken | None = None
 
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
         self._lock = threading.Lock()
-        self._added: list[_Entry] = []
+        self._new_entries: list[_Entry] = []
         self._entries: set[_Entry] = set()
         self._is_idle = True
         self._stop = False
@@ -82,22 +82,25 @@
         self._thread.join(timeout=1.0)
 
     def run(
-        self, stream: engine.EventStream, consumer: Consumer, first_s: float
+        self,
+        stream: engine.EventStream,
+        consumer: Consumer,
+        max_silence_s: float,
     ) -> engine.Broken | None:
         """Passes a stream's events to its consumer until the stream ends.
 
         Args:
             stream: Must not be read by other threads until this returns.
             consumer: Called in the pump's thread; must not block.
-            first_s: Maximum seconds until the next event.
+            max_silence_s: Maximum seconds until the next event.
 
         Returns:
             Why the stream broke; None if the consumer stopped it.
         """
-        entry = _Entry(stream, consumer, time.monotonic(), first_s)
+        entry = _Entry(stream, consumer, time.monotonic(), max_silence_s)
         stream.bound_reads()
         with self._lock:
-            self._added.append(entry)
+            self._new_entries.append(entry)
             if self._is_idle:
                 self._waker.send(b"x")
         entry.done.wait()
@@ -106,8 +109,8 @@
     def _run(self) -> None:
         checked_s = time.monotonic()
         while not self._stop:
-            self._take_added()
-            wait = SILENCE_CHECK_S if self._entries else None
+            self._register_new()
+            wait = SILENCE_CHECK_INTERVAL_S if self._entries else None
             ready = self._selector.select(wait)
             for key, _ in ready:
                 if key.data is None:
@@ -115,15 +118,15 @@
                 else:
                     self._read(key.data)
             now = time.monotonic()
-            if now - checked_s >= SILENCE_CHECK_S:
+            if now - checked_s >= SILENCE_CHECK_INTERVAL_S:
                 checked_s = now
                 self._end_silent(now)
             if ready:
-                time.sleep(ROUND_S)
+                time.sleep(ROUND_SLEEP_S)
         for entry in list(self._entries):
             self._end(entry, engine.Broken("router is stopping", True))
 
-    def _take_added(self) -> None:
+    def _register_new(self) -> None:
         """Registers added streams until there are none left.
 
         The idle flag is set last: a stream whose answer is completely buffered
@@ -133,13 +136,13 @@
         """
         while True:
             with self._lock:
-                added, self._added = self._added, []
+                added, self._new_entries = self._new_entries, []
                 if not added:
                     self._is_idle = not self._entries
                     return
-            self._begin(added)
+            self._register(added)
 
-    def _begin(self, added: list[_Entry]) -> None:
+    def _register(self, added: list[_Entry]) -> None:
         for entry in added:
             try:
                 self._selector.register(
@@ -161,8 +164,8 @@
         if isinstance(events, engine.Broken):
             self._end(entry, events)
             return
-        entry.heard_s = time.monotonic()
-        entry.bound_s = entry.stream.between_s
+        entry.last_read_s = time.monotonic()
+        entry.max_silence_s = entry.stream.between_s
         try:
             wants_more = entry.consumer.take(events)
         except Exception as exc:
@@ -181,8 +184,8 @@
 
     def _end_silent(self, now_s: float) -> None:
         for entry in list(self._entries):
-            silence = now_s - entry.heard_s
-            if silence > entry.bound_s:
+            silence = now_s - entry.last_read_s
+            if silence > entry.max_silence_s:
                 self._end(
                     entry,
                     engine.Broken(
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -27,11 +27,11 @@
 _LOG: Final = logging.getLogger(__name__)
 
 # Interval between checks whether a waiting caller has disconnected.
-GONE_CHECK_S: Final = 0.1
+DISCONNECT_CHECK_INTERVAL_S: Final = 0.1
 
 # Interval of progress reports, so that a link that has become slow gets less
 # work while long answers still run.
-PROGRESS_S: Final = 1.0
+PROGRESS_INTERVAL_S: Final = 1.0
 
 
 @attrs.frozen
@@ -123,12 +123,12 @@
         self._fault: attempts.Fault | None = None
         self._caller_error: Exception | None = None
         # Time and token count of the last progress report.
-        self._marked_s = 0.0
-        self._marked_tokens = 0
+        self._reported_s = 0.0
+        self._reported_tokens = 0
         # Position at which the current attempt began.
         self._first_position = 0
         # Failure after the tokens that `begin` returned, handled by `run`.
-        self._pending: requests.Failure | None = None
+        self._pending_failure: requests.Failure | None = None
         self.pipeline = ""
 
     def begin(self) -> list[str] | Result:
@@ -145,9 +145,9 @@
             texts: list[str] = []
             failure = self._open(decision) or self._read_first(decision, texts)
             if failure is None and self._merge.finished and not texts:
-                return self._make_whole()
+                return self._make_completion()
             if texts:
-                self._pending = failure
+                self._pending_failure = failure
                 return texts
             if failure is not None:
                 fut = self._traffic.fail(failure)
@@ -155,12 +155,12 @@
     def run(self, write: Write) -> Result:
         """Relays the rest of the answer; returns how it ended."""
         self._write = write
-        failure = self._pending
+        failure = self._pending_failure
         while True:
             if failure is None and not self._merge.finished:
                 failure = self._run_stream()
             if failure is None:
-                return self._make_whole()
+                return self._make_completion()
             decision = self._wait(self._traffic.fail(failure))
             if isinstance(decision, errors.Refusal):
                 return decision
@@ -168,7 +168,7 @@
 
     def close(self) -> None:
         """Ends the request; cancels an unfinished attempt."""
-        self._drop_attempt()
+        self._cancel_attempt()
         self._traffic.finish(self._prompt.id, self._merge.finished)
 
     def take(self, events: list[engine.Event]) -> bool:
@@ -185,7 +185,7 @@
             self._report_progress(-1)
         return self._fault is None and not self._merge.finished
 
-    def _make_whole(self) -> Whole:
+    def _make_completion(self) -> Whole:
         return Whole(len(self._merge.tokens), self.pipeline)
 
     def _wait(
@@ -193,7 +193,7 @@
     ) -> requests.Grant | errors.Refusal:
         while True:
             try:
-                return fut.result(GONE_CHECK_S)
+                return fut.result(DISCONNECT_CHECK_INTERVAL_S)
             except concurrent.futures.TimeoutError:
                 if self._is_caller_gone():
                     return errors.Refusal(
@@ -209,8 +209,8 @@
         if isinstance(opened, engine.Broken):
             return self._end_broken(grant, opened)
         self._stream = opened
-        self._marked_s = time.monotonic()
-        self._marked_tokens = len(self._merge.tokens)
+        self._reported_s = time.monotonic()
+        self._reported_tokens = len(self._merge.tokens)
         self._first_position = len(self._merge.tokens)
         return None
 
@@ -295,17 +295,17 @@
 
     def _report_progress(self, load: int) -> None:
         now = time.monotonic()
-        passed = now - self._marked_s
-        if load < 0 and passed < PROGRESS_S:
+        passed = now - self._reported_s
+        if load < 0 and passed < PROGRESS_INTERVAL_S:
             return
         count = len(self._merge.tokens)
         self._traffic.tell(
             requests.Progress(
-                self._prompt.id, count - self._marked_tokens, passed, load
+                self._prompt.id, count - self._reported_tokens, passed, load
             )
         )
-        self._marked_s = now
-        self._marked_tokens = count
+        self._reported_s = now
+        self._reported_tokens = count
 
     def _end_broken(
         self, grant: requests.Grant, broken: engine.Broken
@@ -322,7 +322,7 @@
         if broken.refusal:
             return self._end_refused(grant, broken)
         if broken.maybe_started:
-            self._drop_attempt()
+            self._cancel_attempt()
         self._grant = None
         self._stream = None
         return attrs.evolve(
@@ -359,7 +359,7 @@
                 "position": len(self._merge.tokens),
             },
         )
-        self._drop_attempt()
+        self._cancel_attempt()
         blamed = (fault.upstream,) if fault.upstream else ()
         failure = self._make_failure(
             f"{fault.why.value}: {fault.reason}", blamed, maybe_started=True
@@ -383,7 +383,7 @@
             delivered=len(self._merge.tokens),
         )
 
-    def _drop_attempt(self) -> None:
+    def _cancel_attempt(self) -> None:
         """Closes an unfinished attempt's stream and cancels its work."""
         if self._stream is not None:
             self._stream.discard()
--- a/egretspur/delivery/silence.py
+++ b/egretspur/delivery/silence.py
@@ -19,20 +19,20 @@
 # A stream counts as silent after this many of its usual gaps and at least this
 # time. Other requests' prefills lengthen single gaps to twice the usual. A
 # false alarm costs a few probes; a later alarm uses up the gap allowed.
-GAPS: Final = 2.0
-LEAST_S: Final = 0.05
+MIN_SILENT_GAPS: Final = 2.0
+MIN_SILENCE_S: Final = 0.05
 
 # The same for a single silent stream: the limits are higher, since it may also
 # wait for memory.
-ALONE_GAPS: Final = 5.0
-ALONE_LEAST_S: Final = 0.13
+SINGLE_MIN_SILENT_GAPS: Final = 5.0
+SINGLE_MIN_SILENCE_S: Final = 0.13
 
 # Number of silent streams from which their shared stages are suspected at the
 # lower limits.
-TOGETHER: Final = 3
+MIN_SILENT_STREAMS: Final = 3
 
 # Initial estimate of a stream's usual gap, and the weight of a new gap in it.
-USUAL_GAP_S: Final = 0.04
+INITIAL_GAP_S: Final = 0.04
 GAP_WEIGHT: Final = 0.2
 
 
@@ -62,16 +62,16 @@
     together = collections.Counter(
         stage
         for stream in streams
-        if _is_silent(stream, GAPS, LEAST_S)
-        for stage in _list_quiet(stream, shortest)
+        if _is_silent(stream, MIN_SILENT_GAPS, MIN_SILENCE_S)
+        for stage in _list_candidates(stream, shortest)
     )
     alone = {
         stage
         for stream in streams
-        if _is_silent(stream, ALONE_GAPS, ALONE_LEAST_S)
-        for stage in _list_quiet(stream, shortest)
+        if _is_silent(stream, SINGLE_MIN_SILENT_GAPS, SINGLE_MIN_SILENCE_S)
+        for stage in _list_candidates(stream, shortest)
     }
-    return alone | {s for s, n in together.items() if n >= TOGETHER}
+    return alone | {s for s, n in together.items() if n >= MIN_SILENT_STREAMS}
 
 
 def smooth_gap(old_s: float, gap_s: float) -> float:
@@ -79,11 +79,13 @@
     return old_s + GAP_WEIGHT * (gap_s - old_s)
 
 
-def _is_silent(stream: Heard, gaps: float, least_s: float) -> bool:
-    return stream.silent_s > max(least_s, gaps * stream.gap_s)
+def _is_silent(stream: Heard, min_gaps: float, min_silence_s: float) -> bool:
+    return stream.silent_s > max(min_silence_s, min_gaps * stream.gap_s)
 
 
-def _list_quiet(stream: Heard, shortest: dict[str, float]) -> Iterable[str]:
+def _list_candidates(
+    stream: Heard, shortest: dict[str, float]
+) -> Iterable[str]:
     """Returns a stream's stages over which no stream has had an event since.
 
     Only the second half of its silence counts: events that passed a stage just
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -24,36 +24,36 @@
 # Shortest interval between checks, used when a stream is nearly silent, and
 # longest one, used when all had recent events: below the shortest silence that
 # counts.
-PERIOD_S: Final = 0.02
-REST_S: Final = 0.045
+MIN_CHECK_INTERVAL_S: Final = 0.02
+MAX_CHECK_INTERVAL_S: Final = 0.045
 
 # Longest wait for a first stream; `add` ends it early.
-IDLE_S: Final = 1.0
+IDLE_WAIT_S: Final = 1.0
 
 # Time for which an upstream that another host reported failing is suspected.
-HEARD_S: Final = 0.6
+PEER_SUSPICION_S: Final = 0.6
 
 # Silence after which the first engine of a stream's path is asked for its
 # report, if the stream's route sets no longest gap. Events arrive every few
 # tens of milliseconds.
-SILENT_S: Final = 0.3
+MAX_SILENCE_S: Final = 0.3
 
 # The same before the first event. The prefill takes 50 ms as a rule and 200 ms
 # in a burst; a request rerouted after this time still has its first event
 # within 0.5 s.
-SILENT_FIRST_S: Final = 0.25
+MAX_FIRST_EVENT_S: Final = 0.25
 
 # Fraction of the caller's patience after which a silent attempt that can't be
 # rerouted is ended, so that another one resumes the answer before the caller
 # disconnects.
-HOPELESS_PART: Final = 0.55
+ABORT_PATIENCE_FRACTION: Final = 0.55
 
 # Minimum interval between two requests for an engine's report.
-ASK_S: Final = 0.25
+REPORT_INTERVAL_S: Final = 0.25
 
 # Maximum number of suspected stages probed at once. A path has about ten; if
 # more are silent, this host itself is slow or cut off.
-MOST_ASKED: Final = 12
+MAX_PROBES: Final = 12
 
 
 class Engines(Protocol):
@@ -85,22 +85,22 @@
             is_early: Whether to check for streams that fall silent together.
         """
         self._desk = to
-        self._is_early = is_early
+        self._checks_shared_silence = is_early
         self._engines = engines
         self._lock = threading.Lock()
         self._streams: set[forward.Forward] = set()
         # When each rerouted stream was rerouted.
-        self._moved: dict[forward.Forward, float] = {}
+        self._rerouted_s: dict[forward.Forward, float] = {}
         # When a first engine was last asked for its report, by id.
-        self._asked: dict[str, float] = {}
+        self._last_report_s: dict[str, float] = {}
         # When a suspected stage was last probed, by id.
-        self._peeked: dict[str, float] = {}
+        self._probed_s: dict[str, float] = {}
         # When another host last reported an upstream failing, by id.
-        self._heard: dict[str, float] = {}
+        self._peer_suspects: dict[str, float] = {}
         # Set while there are streams.
         self._has_streams = threading.Event()
         self._pool = concurrent.futures.ThreadPoolExecutor(
-            MOST_ASKED, thread_name_prefix="peek"
+            MAX_PROBES, thread_name_prefix="peek"
         )
         self._stop = threading.Event()
         self._thread = threading.Thread(
@@ -127,7 +127,7 @@
         """Stops watching a stream."""
         with self._lock:
             self._streams.discard(stream)
-            self._moved.pop(stream, None)
+            self._rerouted_s.pop(stream, None)
             if not self._streams:
                 self._has_streams.clear()
 
@@ -136,46 +136,49 @@
         if suspects:
             now_s = time.monotonic()
             with self._lock:
-                self._heard.update(dict.fromkeys(suspects, now_s))
+                self._peer_suspects.update(dict.fromkeys(suspects, now_s))
 
     def _run(self) -> None:
-        while not self._stop.wait(self._find_rest(time.monotonic())):
-            self._has_streams.wait(IDLE_S)
+        while not self._stop.wait(self._compute_wait(time.monotonic())):
+            self._has_streams.wait(IDLE_WAIT_S)
             with guard.surviving("watch"):
                 self.look(time.monotonic())
 
-    def _find_rest(self, now_s: float) -> float:
+    def _compute_wait(self, now_s: float) -> float:
         """Returns the seconds until the next check."""
         with self._lock:
             heard_s = min((s.heard_s for s in self._streams), default=now_s)
-        rest_s = heard_s + silence.LEAST_S - now_s
-        return min(max(rest_s, PERIOD_S), REST_S)
+        rest_s = heard_s + silence.MIN_SILENCE_S - now_s
+        return min(max(rest_s, MIN_CHECK_INTERVAL_S), MAX_CHECK_INTERVAL_S)
 
     def look(self, now_s: float) -> None:
         """Handles the streams that are silent now."""
         with self._lock:
             streams = list(self._streams)
-        if self._is_early:
-            self._look_early(streams, now_s)
+        if self._checks_shared_silence:
+            self._check_shared_silence(streams, now_s)
         by_first: dict[paths.Part, list[forward.Forward]] = {}
         for stream in streams:
             if is_silent(stream, now_s):
                 by_first.setdefault(stream.parts[0], []).append(stream)
         for first, silent in by_first.items():
-            if now_s - self._asked.get(first.id, -ASK_S) < ASK_S:
+            if (
+                now_s - self._last_report_s.get(first.id, -REPORT_INTERVAL_S)
+                < REPORT_INTERVAL_S
+            ):
                 continue
             if not self._desk.may_ask(first.id):
                 continue
-            self._asked[first.id] = now_s
-            self._handle(first, silent)
+            self._last_report_s[first.id] = now_s
+            self._check_first_engine(first, silent)
 
-    def _look_early(
+    def _check_shared_silence(
         self, streams: Sequence[forward.Forward], now_s: float
     ) -> None:
         """Finds dead stages from silent streams, before a report names them."""
         begun = [s for s in streams if s.has_begun]
         # Fast path: checks are frequent and nearly all find no silent stream.
-        if all(now_s - s.heard_s <= silence.LEAST_S for s in begun):
+        if all(now_s - s.heard_s <= silence.MIN_SILENCE_S for s in begun):
             return
         suspects = silence.find_suspects(
             [
@@ -186,15 +189,16 @@
                 )
                 for s in begun
             ]
-        ) | self._list_heard(begun, now_s)
+        ) | self._list_peer_suspects(begun, now_s)
         addresses = {
             p.id: p.address
             for s in streams
             for p in s.parts
             if p.id in suspects
-            and now_s - self._peeked.get(p.id, -ASK_S) >= ASK_S
+            and now_s - self._probed_s.get(p.id, -REPORT_INTERVAL_S)
+            >= REPORT_INTERVAL_S
         }
-        if not addresses or len(addresses) > MOST_ASKED:
+        if not addresses or len(addresses) > MAX_PROBES:
             return
         witness = _find_witness(begun, suspects)
         if witness is not None:
@@ -202,15 +206,17 @@
         addresses = {
             i: a for i, a in addresses.items() if self._desk.may_ask(i)
         }
-        self._peeked = {
-            i: t for i, t in self._peeked.items() if now_s - t < ASK_S
+        self._probed_s = {
+            i: t
+            for i, t in self._probed_s.items()
+            if now_s - t < REPORT_INTERVAL_S
         }
-        self._peeked.update(dict.fromkeys(addresses, now_s))
-        dead = self._peek(addresses)
+        self._probed_s.update(dict.fromkeys(addresses, now_s))
+        dead = self._probe(addresses)
         if dead:
-            self._leave(dead, streams)
+            self._reroute_around(dead, streams)
 
-    def _list_heard(
+    def _list_peer_suspects(
         self, streams: Sequence[forward.Forward], now_s: float
     ) -> set[str]:
         """Returns stages of silent streams that other hosts report failing.
@@ -219,21 +225,23 @@
         stalled stage by themselves.
         """
         with self._lock:
-            self._heard = {
-                i: t for i, t in self._heard.items() if now_s - t < HEARD_S
+            self._peer_suspects = {
+                i: t
+                for i, t in self._peer_suspects.items()
+                if now_s - t < PEER_SUSPICION_S
             }
-            heard = set(self._heard)
+            heard = set(self._peer_suspects)
         if not heard:
             return set()
         return {
             p.id
             for s in streams
-            if now_s - s.heard_s > silence.LEAST_S
+            if now_s - s.heard_s > silence.MIN_SILENCE_S
             for p in s.parts
             if p.id in heard
         }
 
-    def _peek(self, addresses: Mapping[str, str]) -> frozenset[str]:
+    def _probe(self, addresses: Mapping[str, str]) -> frozenset[str]:
         """Probes suspected stages; returns those that are dead.
 
         Returns none if no probe is answered: this host itself may be slow or
@@ -249,7 +257,7 @@
             return frozenset()
         return frozenset(found) - frozenset(answered)
 
-    def _leave(
+    def _reroute_around(
         self, dead: frozenset[str], streams: Sequence[forward.Forward]
     ) -> None:
         """Reroutes streams around dead stages, the least late ones first."""
@@ -260,7 +268,7 @@
         def leave(stream: forward.Forward) -> None:
             stalled = frozenset(p.id for p in stream.parts) & dead
             stream.stalled |= stalled
-            self._move(stream, stalled)
+            self._reroute(stream, stalled)
 
         # In parallel, since each waits for an engine's reply.
         least_late = sorted(over, key=lambda s: -s.heard_s)
@@ -268,7 +276,7 @@
             [self._pool.submit(leave, s) for s in least_late]
         )
 
-    def _handle(
+    def _check_first_engine(
         self, first: paths.Part, streams: Sequence[forward.Forward]
     ) -> None:
         report = self._engines.get_report(first.address)
@@ -285,10 +293,10 @@
             for upstream_id in stalled:
                 self._desk.tell(desk.NoteFailed(upstream_id))
             stream.stalled |= stalled
-            if stalled and self._move(stream, stalled):
+            if stalled and self._reroute(stream, stalled):
                 continue
             silent_s = time.monotonic() - stream.heard_s
-            if silent_s > _get_hopeless_s(stream) and stalled:
+            if silent_s > _get_abort_silence_s(stream) and stalled:
                 self._end_attempt(stream)
 
     def _end_attempt(self, stream: forward.Forward) -> None:
@@ -300,12 +308,14 @@
         if self._desk.secure_repeat(stream.job.id):
             stream.interrupt()
 
-    def _move(self, stream: forward.Forward, stalled: frozenset[str]) -> bool:
+    def _reroute(
+        self, stream: forward.Forward, stalled: frozenset[str]
+    ) -> bool:
         """Reroutes a stream; returns whether it was, now or recently."""
         now_s = time.monotonic()
-        moved_s = self._moved.get(stream)
+        moved_s = self._rerouted_s.get(stream)
         if moved_s is not None:
-            return now_s - moved_s < _get_hopeless_s(stream)
+            return now_s - moved_s < _get_abort_silence_s(stream)
         detour = self._desk.repath(stream.job.id, stalled, stream.has_begun)
         if detour.is_ended:
             stream.interrupt()
@@ -328,7 +338,7 @@
         stream.parts = parts
         with self._lock:
             if stream in self._streams:
-                self._moved[stream] = now_s
+                self._rerouted_s[stream] = now_s
         return True
 
 
@@ -348,12 +358,12 @@
 
 def is_silent(stream: forward.Forward, now_s: float) -> bool:
     """Returns whether a stream has had no event for too long."""
-    bound_s = SILENT_FIRST_S
+    bound_s = MAX_FIRST_EVENT_S
     if stream.has_begun:
-        bound_s = stream.job.route.gap_s or SILENT_S
+        bound_s = stream.job.route.gap_s or MAX_SILENCE_S
     return bool(stream.parts) and now_s - stream.heard_s > bound_s
 
 
-def _get_hopeless_s(stream: forward.Forward) -> float:
+def _get_abort_silence_s(stream: forward.Forward) -> float:
     """Returns the seconds of silence after which an attempt is ended."""
-    return HOPELESS_PART * stream.job.route.patience_s
+    return ABORT_PATIENCE_FRACTION * stream.job.route.patience_s
