--- a/egretspur/delivery/answers.py
+++ b/egretspur/delivery/answers.py
@@ -17,7 +17,7 @@
 EVENTS_TYPE: Final = "text/event-stream"
 
 
-class Form(enum.Enum):
+class ForwardMode(enum.Enum):
     """How an answer is forwarded to the caller."""
 
     # Event by event, as they arrive.
@@ -35,7 +35,7 @@
 
 def judge(
     status: int, content_type: str, is_streaming: bool, has_begun: bool
-) -> Form | Unfit:
+) -> ForwardMode | Unfit:
     """Returns how to forward an answer, given its status and headers.
 
     Args:
@@ -47,9 +47,9 @@
     kind = content_type.partition(";")[0].strip().lower()
     is_events = kind in ("", EVENTS_TYPE)
     if is_streaming and status == 200 and is_events:
-        return Form.EVENTS
+        return ForwardMode.EVENTS
     if not has_begun:
-        return Form.WHOLE
+        return ForwardMode.WHOLE
     if status != 200:
         return Unfit(f"status {status} instead of the remaining events")
     return Unfit(f"{kind} instead of the remaining events")
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -328,7 +328,7 @@
 
     def _classify(
         self, answer: Answer, has_begun: bool
-    ) -> answers.Form | answers.Unfit:
+    ) -> answers.ForwardMode | answers.Unfit:
         fields = {n.lower(): v for n, v in answer.headers.items()}
         return answers.judge(
             answer.status,
@@ -339,7 +339,7 @@
 
     def _read_first(self, answer: Answer) -> Whole | Answer | Lost:
         """Reads a plain answer completely, or a stream's first event."""
-        if self._classify(answer, has_begun=False) is answers.Form.WHOLE:
+        if self._classify(answer, has_begun=False) is answers.ForwardMode.WHOLE:
             body = self._read_body(answer)
             if isinstance(body, Lost):
                 return body
