--- a/egretspur/delivery/answers.py
+++ b/egretspur/delivery/answers.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class Unfit:
+class Unusable:
     """Why an answer can't continue the one already begun."""
 
     reason: str
@@ -35,7 +35,7 @@
 
 def judge(
     status: int, content_type: str, is_streaming: bool, has_begun: bool
-) -> ForwardMode | Unfit:
+) -> ForwardMode | Unusable:
     """Returns how to forward an answer, given its status and headers.
 
     Args:
@@ -51,11 +51,13 @@
     if not has_begun:
         return ForwardMode.WHOLE
     if status != 200:
-        return Unfit(f"status {status} instead of the remaining events")
-    return Unfit(f"{kind} instead of the remaining events")
+        return Unusable(f"status {status} instead of the remaining events")
+    return Unusable(f"{kind} instead of the remaining events")
 
 
-def judge_end(status: int, has_begun: bool, has_brought: bool) -> Unfit | None:
+def judge_end(
+    status: int, has_begun: bool, has_brought: bool
+) -> Unusable | None:
     """Returns why a finished event stream is incomplete; None if it is not.
 
     Args:
@@ -64,5 +66,7 @@
         has_brought: Whether this attempt added an event to the answer.
     """
     if has_begun and not has_brought:
-        return Unfit(f"status {status}, no events after those delivered before")
+        return Unusable(
+            f"status {status}, no events after those delivered before"
+        )
     return None
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -322,13 +322,13 @@
         if isinstance(res, Lost):
             return res
         form = self._classify(res, has_begun=True)
-        if isinstance(form, answers.Unfit):
+        if isinstance(form, answers.Unusable):
             return Lost(jobs.Why.FAILED, form.reason)
         return res
 
     def _classify(
         self, answer: Answer, has_begun: bool
-    ) -> answers.ForwardMode | answers.Unfit:
+    ) -> answers.ForwardMode | answers.Unusable:
         fields = {n.lower(): v for n, v in answer.headers.items()}
         return answers.judge(
             answer.status,
