--- a/egretspur/delivery/answers.py
+++ b/egretspur/delivery/answers.py
@@ -33,7 +33,7 @@
     reason: str
 
 
-def judge(
+def classify(
     status: int, content_type: str, is_streaming: bool, has_begun: bool
 ) -> ForwardMode | Unusable:
     """Returns how to forward an answer, given its status and headers.
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -330,7 +330,7 @@
         self, answer: Answer, has_begun: bool
     ) -> answers.ForwardMode | answers.Unusable:
         fields = {n.lower(): v for n, v in answer.headers.items()}
-        return answers.judge(
+        return answers.classify(
             answer.status,
             fields.get("content-type", ""),
             self.job.route.kind is config.RouteKind.STREAMING,
