--- a/egretspur/delivery/answers.py
+++ b/egretspur/delivery/answers.py
@@ -55,7 +55,7 @@
     return Unusable(f"{kind} instead of the remaining events")
 
 
-def judge_end(
+def check_end(
     status: int, has_begun: bool, has_brought: bool
 ) -> Unusable | None:
     """Returns why a finished event stream is incomplete; None if it is not.
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -404,7 +404,7 @@
         if self._merge.has_rest():
             return Lost(jobs.Why.CUT, "ended within an event")
         before = self._count_before
-        unfit = answers.judge_end(
+        unfit = answers.check_end(
             answer.status, before > 0, self._merge.count > before
         )
         return Lost(jobs.Why.FAILED, unfit.reason) if unfit else None
