--- a/egretspur/delivery/attempts.py
+++ b/egretspur/delivery/attempts.py
@@ -16,7 +16,7 @@
 from egretspur.clients import engine
 
 
-class Why(enum.Enum):
+class FaultCause(enum.Enum):
     """Why an attempt ended before the answer was complete."""
 
     CROSSED = "crossed"
@@ -52,7 +52,7 @@
 class Fault:
     """The attempt failed; another one resumes at the current position."""
 
-    why: Why
+    why: FaultCause
     reason: str
     # Upstream known to be at fault; empty if any on the path may be.
     upstream: str = ""
@@ -86,11 +86,11 @@
     """Checks an event and appends its token to the answer."""
     if event.request != merge.request:
         if isinstance(event, engine.ErrorEvent) and not event.request:
-            return Fault(Why.ENGINE, event.kind, event.upstream)
+            return Fault(FaultCause.ENGINE, event.kind, event.upstream)
         # The answer of an earlier request on a reused connection, for example
         # after its caller disconnected. Nothing that follows on this
         # connection can be trusted.
-        return Fault(Why.CROSSED, f"event of request {event.request}")
+        return Fault(FaultCause.CROSSED, f"event of request {event.request}")
     if event.attempt != merge.attempt:
         return Drop(f"attempt {event.attempt} instead of {merge.attempt}")
     return _apply_current(event, merge)
@@ -108,11 +108,11 @@
         return Drop(f"position {event.position} already delivered")
     if event.position > position:
         return Fault(
-            Why.GAP, f"position {event.position} instead of {position}"
+            FaultCause.GAP, f"position {event.position} instead of {position}"
         )
     if event.layers != merge.trail:
         return Fault(
-            Why.LAYERS, f"layers {event.layers} instead of {merge.trail}"
+            FaultCause.LAYERS, f"layers {event.layers} instead of {merge.trail}"
         )
     merge.tokens.append(event.text)
     return Deliver(event.text)
@@ -123,7 +123,7 @@
     position = len(merge.tokens)
     if event.count != position:
         return Fault(
-            Why.COUNT,
+            FaultCause.COUNT,
             f"end event counts {event.count} tokens, received {position}",
         )
     merge.finished = True
@@ -132,4 +132,4 @@
 
 @_apply_current.register
 def _(event: engine.ErrorEvent, merge: Merge) -> Decision:
-    return Fault(Why.ENGINE, event.kind, event.upstream)
+    return Fault(FaultCause.ENGINE, event.kind, event.upstream)
