--- a/egretspur/delivery/attempts.py
+++ b/egretspur/delivery/attempts.py
@@ -52,7 +52,7 @@
 class Fault:
     """The attempt failed; another one resumes at the current position."""
 
-    why: FaultCause
+    cause: FaultCause
     reason: str
     # Upstream known to be at fault; empty if any on the path may be.
     upstream: str = ""
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -354,7 +354,7 @@
             extra={
                 "request": self._prompt.id,
                 "attempt": self._merge.attempt,
-                "why": fault.why.value,
+                "why": fault.cause.value,
                 "reason": fault.reason,
                 "position": len(self._merge.tokens),
             },
@@ -362,7 +362,7 @@
         self._cancel_attempt()
         blamed = (fault.upstream,) if fault.upstream else ()
         failure = self._make_failure(
-            f"{fault.why.value}: {fault.reason}", blamed, maybe_started=True
+            f"{fault.cause.value}: {fault.reason}", blamed, maybe_started=True
         )
         if fault.reason == engine.LEAVING:
             return attrs.evolve(failure, leaving=fault.upstream)
