--- a/egretspur/delivery/attempts.py
+++ b/egretspur/delivery/attempts.py
@@ -69,7 +69,7 @@
     attempt: int = 0
     # Upstreams and layer ranges that each token of the current attempt must
     # report, as `engine.format_trail` writes them.
-    trail: str = ""
+    expected_layers: str = ""
     # Tokens delivered; their count is the next position.
     tokens: list[str] = attrs.Factory(list)
     finished: bool = False
@@ -78,7 +78,7 @@
 def begin(merge: Merge, trail: str) -> int:
     """Begins the next attempt; returns its number."""
     merge.attempt += 1
-    merge.trail = trail
+    merge.expected_layers = trail
     return merge.attempt
 
 
@@ -110,9 +110,10 @@
         return Fault(
             FaultCause.GAP, f"position {event.position} instead of {position}"
         )
-    if event.layers != merge.trail:
+    if event.layers != merge.expected_layers:
         return Fault(
-            FaultCause.LAYERS, f"layers {event.layers} instead of {merge.trail}"
+            FaultCause.LAYERS,
+            f"layers {event.layers} instead of {merge.expected_layers}",
         )
     merge.tokens.append(event.text)
     return Deliver(event.text)
