--- a/egretspur/delivery/attempts.py
+++ b/egretspur/delivery/attempts.py
@@ -75,7 +75,7 @@
     finished: bool = False
 
 
-def begin(merge: Merge, trail: str) -> int:
+def begin_attempt(merge: Merge, trail: str) -> int:
     """Begins the next attempt; returns its number."""
     merge.attempt += 1
     merge.expected_layers = trail
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -263,7 +263,7 @@
             for e, u in zip(grant.path.edges, grant.hops, strict=True)
         )
         trail = engine.format_trail(hops)
-        attempt = attempts.begin(self._merge, trail)
+        attempt = attempts.begin_attempt(self._merge, trail)
         self.pipeline = trail
         prompt = self._prompt
         return engine.RunCall(
--- a/tests/routing/world.py
+++ b/tests/routing/world.py
@@ -187,7 +187,7 @@
             for e in grant.path.edges
         )
         trail = engine.format_trail(hops)
-        attempt = attempts.begin(request.merge, trail)
+        attempt = attempts.begin_attempt(request.merge, trail)
         request.current = Attempt(
             grant,
             attempt,
