--- a/egretspur/delivery/attempts.py
+++ b/egretspur/delivery/attempts.py
@@ -82,7 +82,7 @@
     return merge.attempt
 
 
-def accept(merge: Merge, event: engine.Event) -> Decision:
+def apply_event(merge: Merge, event: engine.Event) -> Decision:
     """Checks an event and appends its token to the answer."""
     if event.request != merge.request:
         if isinstance(event, engine.ErrorEvent) and not event.request:
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -283,7 +283,7 @@
         self, events: list[engine.Event], texts: list[str]
     ) -> attempts.Fault | None:
         for event in events:
-            decision = attempts.accept(self._merge, event)
+            decision = attempts.apply_event(self._merge, event)
             if isinstance(decision, attempts.Deliver):
                 texts.append(decision.text)
             elif isinstance(decision, attempts.Fault):
--- a/tests/routing/world.py
+++ b/tests/routing/world.py
@@ -201,7 +201,7 @@
         """Lets an event arrive on the request's present connection."""
         if request.current is None:
             return
-        decision = attempts.accept(request.merge, event)
+        decision = attempts.apply_event(request.merge, event)
         if isinstance(decision, attempts.Deliver):
             request.texts.append(decision.text)
             # What counts must be this request's, of the attempt under way,
