--- a/egretspur/delivery/completions.py
+++ b/egretspur/delivery/completions.py
@@ -30,13 +30,13 @@
 # Unread bytes of an answer above which its caller counts as gone.
 MAX_BACKLOG: Final = 1_000_000
 
-RunPrompt = Callable[[relay.Prompt, web.Request], relay.Relay]
+RelayFactory = Callable[[relay.Prompt, web.Request], relay.Relay]
 
 
 class Completions:
     """Handler of ``POST /v1/completions``."""
 
-    def __init__(self, make_relay: RunPrompt) -> None:
+    def __init__(self, make_relay: RelayFactory) -> None:
         self._make_relay = make_relay
 
     def handle(self, req: web.Request) -> web.Response:
