--- a/egretspur/delivery/completions.py
+++ b/egretspur/delivery/completions.py
@@ -28,7 +28,7 @@
 EVENTS_TYPE: Final = "text/event-stream"
 
 # Unread bytes of an answer above which its caller counts as gone.
-MAX_BACKLOG: Final = 1_000_000
+MAX_BACKLOG_BYTES: Final = 1_000_000
 
 RelayFactory = Callable[[relay.Prompt, web.Request], relay.Relay]
 
@@ -98,11 +98,11 @@
         """Writes the events; returns at the end of the answer."""
 
         def write_tokens(texts: list[str]) -> None:
-            if self._get_backlog() > MAX_BACKLOG:
+            if self._get_backlog() > MAX_BACKLOG_BYTES:
                 # The pump thread serves all callers and must not block on
                 # this one.
                 raise relay.SlowCallerError(
-                    f"more than {MAX_BACKLOG} bytes unread"
+                    f"more than {MAX_BACKLOG_BYTES} bytes unread"
                 )
             # Tokens that arrived together are sent as one event.
             text = texts[0] if len(texts) == 1 else "".join(texts)
