--- a/egretspur/delivery/completions.py
+++ b/egretspur/delivery/completions.py
@@ -153,7 +153,7 @@
         data = codec.load_json(req.read_body())
     except codec.DecodeError as exc:
         return errors.Refusal(errors.ErrorKind.BAD_REQUEST, str(exc))
-    problem = find_problem(data)
+    problem = find_body_error(data)
     if problem:
         return errors.Refusal(errors.ErrorKind.BAD_REQUEST, problem)
     max_tokens = data.get("max_tokens", DEFAULT_MAX_TOKENS)
@@ -172,7 +172,7 @@
     return prompt, data.get("stream", False)
 
 
-def find_problem(data: Any) -> str:
+def find_body_error(data: Any) -> str:
     """Returns what is invalid in a request body; empty if nothing is."""
     if not isinstance(data, dict):
         return "the body is not a JSON object"
