--- a/egretspur/delivery/events.py
+++ b/egretspur/delivery/events.py
@@ -16,7 +16,7 @@
 MAX_EVENT: Final = 1 << 20
 
 
-class Flaw(enum.Enum):
+class StreamFault(enum.Enum):
     """Why the bytes of an attempt can't be forwarded."""
 
     GAP = "gap"
@@ -32,7 +32,7 @@
     # Number of events forwarded.
     count: int = 0
     # Of the current attempt; the events before it were forwarded.
-    flaw: Flaw | None = None
+    flaw: StreamFault | None = None
     # Bytes of the current attempt after its last complete event.
     _buffer: bytes = b""
 
@@ -45,7 +45,7 @@
         """Returns whether an incomplete event is buffered."""
         return bool(self._buffer.strip())
 
-    def feed(self, data: bytes) -> bytes | Flaw:
+    def feed(self, data: bytes) -> bytes | StreamFault:
         """Takes bytes of the current attempt; returns those to forward.
 
         If valid events precede an error, returns these; the next call returns
@@ -60,12 +60,14 @@
             event, self._buffer = self._buffer[:end], self._buffer[end:]
             self.flaw = self._accept_event(event, passed)
         if len(self._buffer) > MAX_EVENT:
-            self.flaw = Flaw.MALFORMED
+            self.flaw = StreamFault.MALFORMED
         if self.flaw is not None and not passed:
             return self.flaw
         return b"".join(passed)
 
-    def _accept_event(self, event: bytes, passed: list[bytes]) -> Flaw | None:
+    def _accept_event(
+        self, event: bytes, passed: list[bytes]
+    ) -> StreamFault | None:
         number = _read_id(event)
         if number is None:
             # Events without an id, such as comments, are forwarded unchecked.
@@ -75,7 +77,7 @@
             if number <= self.last_id:
                 return None
             if number != self.last_id + 1:
-                return Flaw.GAP
+                return StreamFault.GAP
         self.last_id = number
         self.count += 1
         passed.append(event)
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -389,7 +389,7 @@
             if not data:
                 return self._check_end(answer)
             passed = self._merge.feed(data)
-            if isinstance(passed, events.Flaw):
+            if isinstance(passed, events.StreamFault):
                 return Lost(jobs.Why.CUT, f"events: {passed.value}")
             if passed:
                 self.has_begun = True
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -58,7 +58,7 @@
         context.passed = b""
     for piece in pieces:
         res = context.merge.feed(piece)
-        if isinstance(res, events.Flaw):
+        if isinstance(res, events.StreamFault):
             context.passed = res
             return
         context.passed += res
