--- a/egretspur/delivery/events.py
+++ b/egretspur/delivery/events.py
@@ -32,14 +32,14 @@
     # Number of events forwarded.
     count: int = 0
     # Of the current attempt; the events before it were forwarded.
-    flaw: StreamFault | None = None
+    fault: StreamFault | None = None
     # Bytes of the current attempt after its last complete event.
     _buffer: bytes = b""
 
     def begin(self) -> None:
         """Begins another attempt; drops an incomplete event of the last."""
         self._buffer = b""
-        self.flaw = None
+        self.fault = None
 
     def has_rest(self) -> bool:
         """Returns whether an incomplete event is buffered."""
@@ -53,16 +53,16 @@
         """
         self._buffer += data
         passed: list[bytes] = []
-        while self.flaw is None:
+        while self.fault is None:
             end = _find_end(self._buffer)
             if end < 0:
                 break
             event, self._buffer = self._buffer[:end], self._buffer[end:]
-            self.flaw = self._accept_event(event, passed)
+            self.fault = self._accept_event(event, passed)
         if len(self._buffer) > MAX_EVENT:
-            self.flaw = StreamFault.MALFORMED
-        if self.flaw is not None and not passed:
-            return self.flaw
+            self.fault = StreamFault.MALFORMED
+        if self.fault is not None and not passed:
+            return self.fault
         return b"".join(passed)
 
     def _accept_event(
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -398,7 +398,7 @@
 
     def _check_end(self, answer: Answer) -> Lost | None:
         """Returns why a stream that ended is incomplete; None if it is not."""
-        flaw = self._merge.flaw
+        flaw = self._merge.fault
         if flaw is not None:
             return Lost(jobs.Why.CUT, f"events: {flaw.value}")
         if self._merge.has_rest():
