--- a/egretspur/delivery/events.py
+++ b/egretspur/delivery/events.py
@@ -41,7 +41,7 @@
         self._buffer = b""
         self.fault = None
 
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Returns whether an incomplete event is buffered."""
         return bool(self._buffer.strip())
 
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -401,7 +401,7 @@
         flaw = self._merge.fault
         if flaw is not None:
             return Lost(jobs.Why.CUT, f"events: {flaw.value}")
-        if self._merge.has_rest():
+        if self._merge.has_partial_event():
             return Lost(jobs.Why.CUT, "ended within an event")
         before = self._count_before
         unfit = answers.check_end(
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -75,7 +75,7 @@
     ids, _, flaw = ids.partition(", ")
     assert read_ids(context.passed) == [int(i) for i in ids.split()]
     assert (context.merge.fault.value if flaw else None) == (flaw or None)
-    assert context.merge.has_rest() == bool(rest)
+    assert context.merge.has_partial_event() == bool(rest)
     if flaw:
         # Nothing that comes after it is passed on.
         assert context.merge.feed(make_event(9)) == context.merge.fault
