--- a/egretspur/delivery/events.py
+++ b/egretspur/delivery/events.py
@@ -13,7 +13,7 @@
 import attrs
 
 # Maximum bytes without the end of an event; beyond it the stream is malformed.
-MAX_EVENT: Final = 1 << 20
+MAX_EVENT_BYTES: Final = 1 << 20
 
 
 class StreamFault(enum.Enum):
@@ -59,7 +59,7 @@
                 break
             event, self._buffer = self._buffer[:end], self._buffer[end:]
             self.fault = self._accept_event(event, passed)
-        if len(self._buffer) > MAX_EVENT:
+        if len(self._buffer) > MAX_EVENT_BYTES:
             self.fault = StreamFault.MALFORMED
         if self.fault is not None and not passed:
             return self.fault
