--- a/egretspur/delivery/answers.py
+++ b/egretspur/delivery/answers.py
@@ -56,16 +56,16 @@
 
 
 def check_end(
-    status: int, has_begun: bool, has_brought: bool
+    status: int, has_begun: bool, has_new_events: bool
 ) -> Unusable | None:
     """Returns why a finished event stream is incomplete; None if it is not.
 
     Args:
         status: HTTP status.
         has_begun: Whether the caller had received events before this attempt.
-        has_brought: Whether this attempt added an event to the answer.
+        has_new_events: Whether this attempt added an event to the answer.
     """
-    if has_begun and not has_brought:
+    if has_begun and not has_new_events:
         return Unusable(
             f"status {status}, no events after those delivered before"
         )
