--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class Lost:
+class AttemptFailure:
     """An attempt that returned no answer or an incomplete one."""
 
     why: jobs.Why
@@ -59,7 +59,7 @@
     status: int
     headers: Mapping[str, str]
 
-    def read_some(self) -> bytes | Lost:
+    def read_some(self) -> bytes | AttemptFailure:
         """Blocks until bytes arrive and returns them; empty at the end."""
 
     def abort(self) -> None:
@@ -79,7 +79,7 @@
         start: jobs.Start,
         resume_after: str,
         abort: Abort,
-    ) -> Answer | Lost:
+    ) -> Answer | AttemptFailure:
         """Sends a request and returns its answer, body unread."""
 
 
@@ -203,17 +203,17 @@
             if isinstance(decision, errors.Refusal):
                 return self._error_answer or decision
             opened = self._open(decision, self.call.resume_after)
-            res: Whole | Answer | Lost = opened
-            if not isinstance(opened, Lost):
+            res: Whole | Answer | AttemptFailure = opened
+            if not isinstance(opened, AttemptFailure):
                 res = self._read_first(opened)
-            if not isinstance(res, Lost):
+            if not isinstance(res, AttemptFailure):
                 return res
             self._end_attempt(res)
 
     def run(self, write: Write) -> errors.Refusal | None:
         """Forwards a stream; returns why it ended early, if it did."""
         write(self._first_events)
-        lost: Lost | None = None
+        lost: AttemptFailure | None = None
         while True:
             if lost is None:
                 lost = self._forward_events(write)
@@ -232,7 +232,7 @@
             if self._merge.last_id is not None:
                 after = str(self._merge.last_id)
             res = self._resume(decision, after)
-            lost = res if isinstance(res, Lost) else None
+            lost = res if isinstance(res, AttemptFailure) else None
 
     def close(self) -> None:
         """Ends the request and closes an open connection."""
@@ -295,7 +295,7 @@
     def _make_timeout(self, reason: str) -> errors.Refusal:
         return errors.Refusal(errors.ErrorKind.TIMED_OUT, reason)
 
-    def _open(self, start: jobs.Start, after: str) -> Answer | Lost:
+    def _open(self, start: jobs.Start, after: str) -> Answer | AttemptFailure:
         self._attempts += 1
         self.parts = start.parts
         self.heard_s = time.monotonic()
@@ -310,20 +310,20 @@
         res = self._upstreams.open(
             self.call, self.job, start, after, self._abort
         )
-        if isinstance(res, Lost):
+        if isinstance(res, AttemptFailure):
             return res
         self._answer = res
         self._abort.arm(res.abort)
         return res
 
-    def _resume(self, start: jobs.Start, after: str) -> Answer | Lost:
+    def _resume(self, start: jobs.Start, after: str) -> Answer | AttemptFailure:
         """Opens an attempt that resumes an answer already begun."""
         res = self._open(start, after)
-        if isinstance(res, Lost):
+        if isinstance(res, AttemptFailure):
             return res
         form = self._classify(res, has_begun=True)
         if isinstance(form, answers.Unusable):
-            return Lost(jobs.Why.FAILED, form.reason)
+            return AttemptFailure(jobs.Why.FAILED, form.reason)
         return res
 
     def _classify(
@@ -337,11 +337,11 @@
             has_begun,
         )
 
-    def _read_first(self, answer: Answer) -> Whole | Answer | Lost:
+    def _read_first(self, answer: Answer) -> Whole | Answer | AttemptFailure:
         """Reads a plain answer completely, or a stream's first event."""
         if self._classify(answer, has_begun=False) is answers.ForwardMode.WHOLE:
             body = self._read_body(answer)
-            if isinstance(body, Lost):
+            if isinstance(body, AttemptFailure):
                 return body
             whole = Whole(answer.status, answer.headers, body)
             if answer.status == 200 or not self._may_retry(answer):
@@ -349,10 +349,10 @@
                 self._desk.tell(desk.Answered(self.job.id))
                 return whole
             self._error_answer = whole
-            return Lost(jobs.Why.FAILED, f"status {answer.status}")
+            return AttemptFailure(jobs.Why.FAILED, f"status {answer.status}")
         while not self._first_events:
             res = self._read_events(answer)
-            if isinstance(res, Lost):
+            if isinstance(res, AttemptFailure):
                 return res
             if res is None:
                 break
@@ -367,11 +367,11 @@
             and self.job.route.kind is not config.RouteKind.NON_IDEMPOTENT
         )
 
-    def _read_body(self, answer: Answer) -> bytes | Lost:
+    def _read_body(self, answer: Answer) -> bytes | AttemptFailure:
         pieces: list[bytes] = []
         while True:
             data = answer.read_some()
-            if isinstance(data, Lost):
+            if isinstance(data, AttemptFailure):
                 return data
             if not data:
                 answer.close()
@@ -379,35 +379,35 @@
                 return b"".join(pieces)
             pieces.append(data)
 
-    def _read_events(self, answer: Answer) -> bytes | Lost | None:
+    def _read_events(self, answer: Answer) -> bytes | AttemptFailure | None:
         """Returns the next complete events; None at the end of the answer."""
         while True:
             data = answer.read_some()
-            if isinstance(data, Lost):
+            if isinstance(data, AttemptFailure):
                 return data
             self.heard_s = time.monotonic()
             if not data:
                 return self._check_end(answer)
             passed = self._merge.feed(data)
             if isinstance(passed, events.StreamFault):
-                return Lost(jobs.Why.CUT, f"events: {passed.value}")
+                return AttemptFailure(jobs.Why.CUT, f"events: {passed.value}")
             if passed:
                 self.has_begun = True
                 self._record_event()
                 return passed
 
-    def _check_end(self, answer: Answer) -> Lost | None:
+    def _check_end(self, answer: Answer) -> AttemptFailure | None:
         """Returns why a stream that ended is incomplete; None if it is not."""
         flaw = self._merge.fault
         if flaw is not None:
-            return Lost(jobs.Why.CUT, f"events: {flaw.value}")
+            return AttemptFailure(jobs.Why.CUT, f"events: {flaw.value}")
         if self._merge.has_partial_event():
-            return Lost(jobs.Why.CUT, "ended within an event")
+            return AttemptFailure(jobs.Why.CUT, "ended within an event")
         before = self._count_before
         unfit = answers.check_end(
             answer.status, before > 0, self._merge.count > before
         )
-        return Lost(jobs.Why.FAILED, unfit.reason) if unfit else None
+        return AttemptFailure(jobs.Why.FAILED, unfit.reason) if unfit else None
 
     def _record_event(self) -> None:
         now_s = self.heard_s
@@ -422,13 +422,13 @@
                 self._desk.tell(desk.Suspect(ids))
         self._last_s = now_s
 
-    def _forward_events(self, write: Write) -> Lost | None:
+    def _forward_events(self, write: Write) -> AttemptFailure | None:
         """Forwards events until the answer ends; None if it is complete."""
         answer = self._answer
         assert answer is not None
         while True:
             res = self._read_events(answer)
-            if isinstance(res, Lost):
+            if isinstance(res, AttemptFailure):
                 return res
             if res is None:
                 answer.close()
@@ -436,7 +436,7 @@
                 return None
             write(res)
 
-    def _end_attempt(self, lost: Lost) -> None:
+    def _end_attempt(self, lost: AttemptFailure) -> None:
         """Closes a failed attempt and reports it to the broker."""
         if self._watch is not None:
             self._watch.remove(self)
--- a/egretspur/platform/upstream.py
+++ b/egretspur/platform/upstream.py
@@ -74,10 +74,10 @@
         start: jobs.Start,
         resume_after: str,
         abort: forward.Abort,
-    ) -> UpstreamAnswer | forward.Lost:
+    ) -> UpstreamAnswer | forward.AttemptFailure:
         """Sends a request and returns the beginning of its answer."""
         conn = _connect(start.upstream.address)
-        if isinstance(conn, forward.Lost):
+        if isinstance(conn, forward.AttemptFailure):
             return conn
         handle = _Handle(conn)
         abort.arm(handle.abort)
@@ -98,7 +98,9 @@
             res = conn.getresponse()
         except Exception as exc:  # the library's, the socket's, http.client's
             handle.close()
-            return forward.Lost(jobs.Why.CUT, f"{start.upstream.id}: {exc!r}")
+            return forward.AttemptFailure(
+                jobs.Why.CUT, f"{start.upstream.id}: {exc!r}"
+            )
         if res.status != MISDIRECTED:
             self._note_signals(
                 start.upstream.id,
@@ -178,16 +180,18 @@
             if name.lower() not in names.CONNECTION_FIELDS
         }
 
-    def read_some(self) -> bytes | forward.Lost:
+    def read_some(self) -> bytes | forward.AttemptFailure:
         """Returns the next bytes; empty at the end of a whole body."""
         left_s = self._deadline_s - time.monotonic()
         self._handle.set_timeout(max(0.01, min(left_s, self._silence_s)))
         try:
             data = self._res.read1(_MAX_READ)
         except Exception as exc:  # the library's, the socket's, http.client's
-            return forward.Lost(jobs.Why.CUT, repr(exc))
+            return forward.AttemptFailure(jobs.Why.CUT, repr(exc))
         if not data and not self._may_end:
-            return forward.Lost(jobs.Why.CUT, "closed before its body")
+            return forward.AttemptFailure(
+                jobs.Why.CUT, "closed before its body"
+            )
         self._may_end = True
         return data
 
@@ -203,7 +207,7 @@
 
 def _connect(
     address: str,
-) -> urllib3.connection.HTTPConnection | forward.Lost:
+) -> urllib3.connection.HTTPConnection | forward.AttemptFailure:
     host, _, port = address.rpartition(":")
     conn = urllib3.connection.HTTPConnection(
         host,
@@ -222,7 +226,9 @@
         conn.connect()
     except (exceptions.HTTPError, OSError) as exc:
         conn.close()
-        return forward.Lost(jobs.Why.UNREACHABLE, f"{address}: {exc!r}")
+        return forward.AttemptFailure(
+            jobs.Why.UNREACHABLE, f"{address}: {exc!r}"
+        )
     return conn
 
 
@@ -261,26 +267,26 @@
 
 def _check_head(
     call: forward.Call, start: jobs.Start, res: Any
-) -> forward.Lost | None:
+) -> forward.AttemptFailure | None:
     """Returns why an answer can't be passed on; None if it can."""
     who = start.upstream.id
     if res.status == MISDIRECTED:
         blamed = _find_blamed(start, res) or (who,)
-        return forward.Lost(
+        return forward.AttemptFailure(
             jobs.Why.MISDIRECTED, f"{who}: another has the address", blamed
         )
     if res.headers.get(names.NOT_RUN):
-        return forward.Lost(
+        return forward.AttemptFailure(
             jobs.Why.REFUSED,
             f"{who}: refused with {res.status}",
             _find_blamed(start, res),
         )
     if res.headers.get(names.REQUEST_ID) != call.id:
-        return forward.Lost(
+        return forward.AttemptFailure(
             jobs.Why.CUT, f"{who}: an answer of another request", (who,)
         )
     if not res.headers.get(names.RECEIPT):
-        return forward.Lost(
+        return forward.AttemptFailure(
             jobs.Why.FAILED, f"{who}: status {res.status}, no receipt", (who,)
         )
     return None
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -117,7 +117,7 @@
 class Script:
     """What one attempt does."""
 
-    pieces: list[bytes | forward.Lost | str]
+    pieces: list[bytes | forward.AttemptFailure | str]
     status: int = 200
     content_type: str = ""
 
@@ -132,7 +132,7 @@
     closed: threading.Event = attrs.Factory(threading.Event)
     deadline_s: float = 0.0
 
-    def read_some(self) -> bytes | forward.Lost:
+    def read_some(self) -> bytes | forward.AttemptFailure:
         """Returns the next piece; waits where the script says so."""
         if not self.script.pieces:
             return b""
@@ -140,7 +140,7 @@
         if piece == "silence":
             left_s = max(0.0, self.deadline_s - time.monotonic())
             self.closed.wait(min(left_s, 5.0))
-            return forward.Lost(jobs.Why.CUT, "closed or silent")
+            return forward.AttemptFailure(jobs.Why.CUT, "closed or silent")
         assert not isinstance(piece, str)
         return piece
 
@@ -169,7 +169,7 @@
         start: jobs.Start,
         resume_after: str,
         abort: forward.Abort,
-    ) -> FakeAnswer | forward.Lost:
+    ) -> FakeAnswer | forward.AttemptFailure:
         """Begins the next attempt."""
         self.starts.append(start)
         self.afters.append(resume_after)
@@ -250,7 +250,7 @@
 @given("the {place} attempt is cut after events {numbers}")
 def step_cut(context: Any, place: str, numbers: str) -> None:
     pieces: list[Any] = [make_event(i) for i in parse_numbers(numbers)]
-    pieces.append(forward.Lost(jobs.Why.CUT, "reset"))
+    pieces.append(forward.AttemptFailure(jobs.Why.CUT, "reset"))
     context.play.sends.scripts.append(Script(pieces))
 
 
@@ -438,7 +438,7 @@
     whole = b"".join(make_event(n) for n in numbers)
     cut = whole[: rng.randint(0, len(whole))]
     gap = b"".join(make_event(n) for n in numbers if n != after + 2)
-    lost = forward.Lost(jobs.Why.CUT, "reset")
+    lost = forward.AttemptFailure(jobs.Why.CUT, "reset")
     drawn: list[Script] = [
         Script([whole], 200, "text/event-stream"),
         Script([cut, lost], 200, "text/event-stream"),
@@ -468,7 +468,7 @@
         start: jobs.Start,
         resume_after: str,
         abort: forward.Abort,
-    ) -> FakeAnswer | forward.Lost:
+    ) -> FakeAnswer | forward.AttemptFailure:
         """Begins an attempt of any kind."""
         after = int(resume_after or 0)
         self.scripts = [draw_script(self._rng, after, self._count)]
--- a/tests/steps/upstream_steps.py
+++ b/tests/steps/upstream_steps.py
@@ -77,9 +77,9 @@
         2.5, lambda upstream_id, answer: context.backpressure.append(answer)
     ).open(CALL, job, jobs.Start("ID", entry, parts), "", context.leaving)
     body = b""
-    while not isinstance(answer, forward.Lost):
+    while not isinstance(answer, forward.AttemptFailure):
         data = answer.read_some()
-        if isinstance(data, forward.Lost):
+        if isinstance(data, forward.AttemptFailure):
             answer.close()
             answer = data
             break
