--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -116,7 +116,7 @@
 
 
 @attrs.frozen
-class Whole:
+class CompleteAnswer:
     """An answer with its complete body."""
 
     status: int
@@ -153,7 +153,7 @@
         self._answer: Answer | None = None
         # An upstream's error response, returned to the caller if every later
         # attempt fails as well.
-        self._error_answer: Whole | None = None
+        self._error_answer: CompleteAnswer | None = None
         # Events read before the answer to the caller was begun.
         self._first_events = b""
         # The caller disconnected.
@@ -195,7 +195,7 @@
         """Ends the current attempt, so that another one resumes the answer."""
         self._abort.fire()
 
-    def begin(self) -> Whole | Answer | errors.Refusal:
+    def begin(self) -> CompleteAnswer | Answer | errors.Refusal:
         """Returns a complete answer, the start of a stream, or a refusal."""
         self._fut = self._desk.arrive(self.job)
         while True:
@@ -203,7 +203,7 @@
             if isinstance(decision, errors.Refusal):
                 return self._error_answer or decision
             opened = self._open(decision, self.call.resume_after)
-            res: Whole | Answer | AttemptFailure = opened
+            res: CompleteAnswer | Answer | AttemptFailure = opened
             if not isinstance(opened, AttemptFailure):
                 res = self._read_first(opened)
             if not isinstance(res, AttemptFailure):
@@ -337,13 +337,15 @@
             has_begun,
         )
 
-    def _read_first(self, answer: Answer) -> Whole | Answer | AttemptFailure:
+    def _read_first(
+        self, answer: Answer
+    ) -> CompleteAnswer | Answer | AttemptFailure:
         """Reads a plain answer completely, or a stream's first event."""
         if self._classify(answer, has_begun=False) is answers.ForwardMode.WHOLE:
             body = self._read_body(answer)
             if isinstance(body, AttemptFailure):
                 return body
-            whole = Whole(answer.status, answer.headers, body)
+            whole = CompleteAnswer(answer.status, answer.headers, body)
             if answer.status == 200 or not self._may_retry(answer):
                 self._is_answered = answer.status < 500
                 self._desk.tell(desk.Answered(self.job.id))
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -112,7 +112,7 @@
             run.record_end(0, None)
             self._end(run)
             return web.reply_refusal(res)
-        if isinstance(res, forward.Whole):
+        if isinstance(res, forward.CompleteAnswer):
             run.record_end(res.status, None)
             self._end(run)
             return web.Response(res.status, dict(res.headers), res.body)
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -546,7 +546,7 @@
 
 @then("the caller gets the service's own {status:d} after {count:d} attempts")
 def step_own(context: Any, status: int, count: int) -> None:
-    assert isinstance(context.result, forward.Whole), context.result
+    assert isinstance(context.result, forward.CompleteAnswer), context.result
     assert context.result.status == status
     assert context.result.body == b"why"
     assert len(context.play.sends.starts) == count
