--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -127,7 +127,7 @@
 Write = Callable[[bytes], None]
 
 
-class Forward:
+class Forwarder:
     """Forwards one request and its answer.
 
     `begin` returns once the answer's status is known; for a stream, `run`
@@ -476,10 +476,10 @@
 class Watch(Protocol):
     """Watches streams for silence."""
 
-    def add(self, forward: Forward) -> None:
+    def add(self, forward: Forwarder) -> None:
         """Starts watching a stream."""
 
-    def remove(self, forward: Forward) -> None:
+    def remove(self, forward: Forwarder) -> None:
         """Stops watching a stream."""
 
 
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -97,7 +97,7 @@
             )
             return web.reply_refusal(job)
         self._record_admitted(job)
-        run = forward.Forward(
+        run = forward.Forwarder(
             inbound.call, job, self._desk, self._upstreams, self._watch
         )
         with self._lock:
@@ -174,7 +174,7 @@
             )
         )
 
-    def _end(self, run: forward.Forward) -> None:
+    def _end(self, run: forward.Forwarder) -> None:
         run.close()
         with self._lock:
             self.in_flight -= 1
@@ -212,7 +212,7 @@
     """The body of a streamed answer."""
 
     def __init__(
-        self, run: forward.Forward, end: Callable[[forward.Forward], None]
+        self, run: forward.Forwarder, end: Callable[[forward.Forwarder], None]
     ) -> None:
         self._run = run
         self._end = end
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -88,9 +88,9 @@
         self._checks_shared_silence = is_early
         self._engines = engines
         self._lock = threading.Lock()
-        self._streams: set[forward.Forward] = set()
+        self._streams: set[forward.Forwarder] = set()
         # When each rerouted stream was rerouted.
-        self._rerouted_s: dict[forward.Forward, float] = {}
+        self._rerouted_s: dict[forward.Forwarder, float] = {}
         # When a first engine was last asked for its report, by id.
         self._last_report_s: dict[str, float] = {}
         # When a suspected stage was last probed, by id.
@@ -117,13 +117,13 @@
         self._has_streams.set()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
-    def add(self, stream: forward.Forward) -> None:
+    def add(self, stream: forward.Forwarder) -> None:
         """Starts watching a stream."""
         with self._lock:
             self._streams.add(stream)
             self._has_streams.set()
 
-    def remove(self, stream: forward.Forward) -> None:
+    def remove(self, stream: forward.Forwarder) -> None:
         """Stops watching a stream."""
         with self._lock:
             self._streams.discard(stream)
@@ -157,7 +157,7 @@
             streams = list(self._streams)
         if self._checks_shared_silence:
             self._check_shared_silence(streams, now_s)
-        by_first: dict[paths.Part, list[forward.Forward]] = {}
+        by_first: dict[paths.Part, list[forward.Forwarder]] = {}
         for stream in streams:
             if is_silent(stream, now_s):
                 by_first.setdefault(stream.parts[0], []).append(stream)
@@ -173,7 +173,7 @@
             self._check_first_engine(first, silent)
 
     def _check_shared_silence(
-        self, streams: Sequence[forward.Forward], now_s: float
+        self, streams: Sequence[forward.Forwarder], now_s: float
     ) -> None:
         """Finds dead stages from silent streams, before a report names them."""
         begun = [s for s in streams if s.has_begun]
@@ -217,7 +217,7 @@
             self._reroute_around(dead, streams)
 
     def _list_peer_suspects(
-        self, streams: Sequence[forward.Forward], now_s: float
+        self, streams: Sequence[forward.Forwarder], now_s: float
     ) -> set[str]:
         """Returns stages of silent streams that other hosts report failing.
 
@@ -258,14 +258,14 @@
         return frozenset(found) - frozenset(answered)
 
     def _reroute_around(
-        self, dead: frozenset[str], streams: Sequence[forward.Forward]
+        self, dead: frozenset[str], streams: Sequence[forward.Forwarder]
     ) -> None:
         """Reroutes streams around dead stages, the least late ones first."""
         for upstream_id in dead:
             self._desk.tell(desk.NoteFailed(upstream_id))
         over = [s for s in streams if dead & {p.id for p in s.parts}]
 
-        def leave(stream: forward.Forward) -> None:
+        def leave(stream: forward.Forwarder) -> None:
             stalled = frozenset(p.id for p in stream.parts) & dead
             stream.stalled |= stalled
             self._reroute(stream, stalled)
@@ -277,7 +277,7 @@
         )
 
     def _check_first_engine(
-        self, first: paths.Part, streams: Sequence[forward.Forward]
+        self, first: paths.Part, streams: Sequence[forward.Forwarder]
     ) -> None:
         report = self._engines.get_report(first.address)
         if isinstance(report, str):
@@ -299,7 +299,7 @@
             if silent_s > _get_abort_silence_s(stream) and stalled:
                 self._end_attempt(stream)
 
-    def _end_attempt(self, stream: forward.Forward) -> None:
+    def _end_attempt(self, stream: forward.Forwarder) -> None:
         """Ends a silent attempt if a retry is allowed.
 
         Otherwise it continues: its engine may only be slow, and if it is dead
@@ -309,7 +309,7 @@
             stream.interrupt()
 
     def _reroute(
-        self, stream: forward.Forward, stalled: frozenset[str]
+        self, stream: forward.Forwarder, stalled: frozenset[str]
     ) -> bool:
         """Reroutes a stream; returns whether it was, now or recently."""
         now_s = time.monotonic()
@@ -343,7 +343,7 @@
 
 
 def _find_witness(
-    streams: Sequence[forward.Forward], suspects: set[str]
+    streams: Sequence[forward.Forwarder], suspects: set[str]
 ) -> paths.Part | None:
     """Returns a working stage, to be probed together with the suspects.
 
@@ -356,7 +356,7 @@
     return None
 
 
-def is_silent(stream: forward.Forward, now_s: float) -> bool:
+def is_silent(stream: forward.Forwarder, now_s: float) -> bool:
     """Returns whether a stream has had no event for too long."""
     bound_s = MAX_FIRST_EVENT_S
     if stream.has_begun:
@@ -364,6 +364,6 @@
     return bool(stream.parts) and now_s - stream.heard_s > bound_s
 
 
-def _get_abort_silence_s(stream: forward.Forward) -> float:
+def _get_abort_silence_s(stream: forward.Forwarder) -> float:
     """Returns the seconds of silence after which an attempt is ended."""
     return ABORT_PATIENCE_FRACTION * stream.job.route.patience_s
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -323,7 +323,7 @@
     upstreams.put(context.broker.fleet.roster, twin, 0.0)
 
 
-def make_forward(context: Any, kind: str, live_s: float) -> forward.Forward:
+def make_forward(context: Any, kind: str, live_s: float) -> forward.Forwarder:
     """Returns a request that arrives now."""
     now_s = time.monotonic()
     job = attrs.evolve(
@@ -331,7 +331,7 @@
     )
     call = forward.Call("r", "POST", "/x/", {}, b"", "")
     play = context.play
-    return forward.Forward(call, job, play.desk, play.sends, play.watch)
+    return forward.Forwarder(call, job, play.desk, play.sends, play.watch)
 
 
 class Lines(logging.Handler):
@@ -484,7 +484,7 @@
         job = fleets.make_job("r", now_s=time.monotonic())
         call = forward.Call("r", "POST", "/x/", {}, b"", "")
         sends = DrawnUpstreams(rng, count)
-        run = forward.Forward(call, job, EagerDesk(4), sends)
+        run = forward.Forwarder(call, job, EagerDesk(4), sends)
         written: list[bytes] = []
         res = run.begin()
         end = (
