--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -69,7 +69,7 @@
         """Closes the connection; from the reading thread only."""
 
 
-class Upstreams(Protocol):
+class AttemptSender(Protocol):
     """Sends requests to upstreams."""
 
     def open(
@@ -139,7 +139,7 @@
         call: Call,
         job: jobs.Job,
         to: desk.Desk,
-        upstreams: Upstreams,
+        upstreams: AttemptSender,
         watch: Watch | None = None,
     ) -> None:
         self.call = call
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -57,7 +57,7 @@
     def __init__(
         self,
         to: desk.Desk,
-        upstreams: forward.Upstreams,
+        upstreams: forward.AttemptSender,
         watch: forward.Watch,
         rng: random.Random,
     ) -> None:
