--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -78,12 +78,12 @@
         job: jobs.Job,
         start: jobs.Start,
         resume_after: str,
-        abort: Abort,
+        abort: AbortHandle,
     ) -> Answer | AttemptFailure:
         """Sends a request and returns its answer, body unread."""
 
 
-class Abort:
+class AbortHandle:
     """Aborts a request's upstream connection from another thread."""
 
     def __init__(self) -> None:
@@ -147,7 +147,7 @@
         self._desk = to
         self._upstreams = upstreams
         self._watch = watch
-        self._abort = Abort()
+        self._abort = AbortHandle()
         self._fut: desk.DecisionFuture | None = None
         self._merge = events.Merge()
         self._answer: Answer | None = None
--- a/egretspur/platform/upstream.py
+++ b/egretspur/platform/upstream.py
@@ -73,7 +73,7 @@
         job: jobs.Job,
         start: jobs.Start,
         resume_after: str,
-        abort: forward.Abort,
+        abort: forward.AbortHandle,
     ) -> UpstreamAnswer | forward.AttemptFailure:
         """Sends a request and returns the beginning of its answer."""
         conn = _connect(start.upstream.address)
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -168,7 +168,7 @@
         job: jobs.Job,
         start: jobs.Start,
         resume_after: str,
-        abort: forward.Abort,
+        abort: forward.AbortHandle,
     ) -> FakeAnswer | forward.AttemptFailure:
         """Begins the next attempt."""
         self.starts.append(start)
@@ -467,7 +467,7 @@
         job: jobs.Job,
         start: jobs.Start,
         resume_after: str,
-        abort: forward.Abort,
+        abort: forward.AbortHandle,
     ) -> FakeAnswer | forward.AttemptFailure:
         """Begins an attempt of any kind."""
         after = int(resume_after or 0)
--- a/tests/steps/upstream_steps.py
+++ b/tests/steps/upstream_steps.py
@@ -70,7 +70,7 @@
         fleets.make_job("ID", "non_idempotent", now_s=now_s),
         deadline_s=now_s + LIVE_S,
     )
-    context.leaving = forward.Abort()
+    context.leaving = forward.AbortHandle()
     context.outcome_of = None
     context.backpressure = []
     answer = upstream.UpstreamClient(
