--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -106,7 +106,7 @@
         if close is not None:
             close()
 
-    def arm(self, close: Callable[[], None] | None) -> None:
+    def set_closer(self, close: Callable[[], None] | None) -> None:
         """Sets the function that closes the current connection."""
         with self._lock:
             self._close = close
@@ -313,7 +313,7 @@
         if isinstance(res, AttemptFailure):
             return res
         self._answer = res
-        self._abort.arm(res.abort)
+        self._abort.set_closer(res.abort)
         return res
 
     def _resume(self, start: jobs.Start, after: str) -> Answer | AttemptFailure:
@@ -445,7 +445,7 @@
         if self._answer is not None:
             self._answer.close()
             self._answer = None
-        self._abort.arm(None)
+        self._abort.set_closer(None)
         blamed = lost.blamed or tuple(self.stalled)
         count = self._merge.count
         brought = count - self._count_before
--- a/egretspur/platform/upstream.py
+++ b/egretspur/platform/upstream.py
@@ -80,7 +80,7 @@
         if isinstance(conn, forward.AttemptFailure):
             return conn
         handle = _Handle(conn)
-        abort.arm(handle.abort)
+        abort.set_closer(handle.abort)
         left_s = job.deadline_s - time.monotonic()
         headers = _make_headers(call, job, start, resume_after, left_s)
         # The library applies this to its socket before it sends and again
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -180,7 +180,7 @@
         answer = FakeAnswer(script, script.status, headers)
         answer.deadline_s = job.deadline_s
         self.answers.append(answer)
-        abort.arm(answer.abort)
+        abort.set_closer(answer.abort)
         return answer
 
 
