--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -99,7 +99,7 @@
         if close is not None:
             close()
 
-    def fire(self) -> None:
+    def abort_current(self) -> None:
         """Aborts the current connection only."""
         with self._lock:
             close = self._close
@@ -193,7 +193,7 @@
 
     def interrupt(self) -> None:
         """Ends the current attempt, so that another one resumes the answer."""
-        self._abort.fire()
+        self._abort.abort_current()
 
     def begin(self) -> CompleteAnswer | Answer | errors.Refusal:
         """Returns a complete answer, the start of a stream, or a refusal."""
