--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -91,7 +91,7 @@
         self._close: Callable[[], None] | None = None
         self.is_set = False
 
-    def set(self) -> None:
+    def abort_all(self) -> None:
         """Aborts the current connection and every later one."""
         with self._lock:
             self.is_set = True
@@ -181,7 +181,7 @@
     def leave(self) -> None:
         """Ends the request after its caller disconnected; from any thread."""
         self.is_gone = True
-        self._abort.set()
+        self._abort.abort_all()
         fut = self._fut
         if fut is not None:
             _resolve(
