--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -89,12 +89,12 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._close: Callable[[], None] | None = None
-        self.is_set = False
+        self.is_aborted = False
 
     def abort_all(self) -> None:
         """Aborts the current connection and every later one."""
         with self._lock:
-            self.is_set = True
+            self.is_aborted = True
             close = self._close
         if close is not None:
             close()
@@ -110,7 +110,7 @@
         """Sets the function that closes the current connection."""
         with self._lock:
             self._close = close
-            fire = self.is_set and close is not None
+            fire = self.is_aborted and close is not None
         if fire and close is not None:
             close()
 
