--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -178,7 +178,7 @@
         self._last_s = 0.0
         self._gap_s = 0.0
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """Ends the request after its caller disconnected; from any thread."""
         self.is_gone = True
         self._abort.abort_all()
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -102,7 +102,7 @@
         )
         with self._lock:
             self.in_flight += 1
-        req.on_gone(run.leave)
+        req.on_gone(run.abandon)
         try:
             res = run.begin()
         except BaseException:
