--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -162,7 +162,7 @@
         self._is_answered = False
         # Read by the stream watch: when the attempt was sent or last received
         # bytes, its path, and the stages of the path that are known to stall.
-        self.heard_s = 0.0
+        self.last_activity_s = 0.0
         self.parts: tuple[paths.Part, ...] = ()
         self.stalled: set[str] = set()
         # The current attempt has delivered an event.
@@ -298,7 +298,7 @@
     def _open(self, start: jobs.Start, after: str) -> Answer | AttemptFailure:
         self._attempts += 1
         self.parts = start.parts
-        self.heard_s = time.monotonic()
+        self.last_activity_s = time.monotonic()
         self.stalled = set()
         self.has_begun = False
         self._count_before = self._merge.count
@@ -387,7 +387,7 @@
             data = answer.read_some()
             if isinstance(data, AttemptFailure):
                 return data
-            self.heard_s = time.monotonic()
+            self.last_activity_s = time.monotonic()
             if not data:
                 return self._check_end(answer)
             passed = self._merge.feed(data)
@@ -412,7 +412,7 @@
         return AttemptFailure(jobs.Why.FAILED, unfit.reason) if unfit else None
 
     def _record_event(self) -> None:
-        now_s = self.heard_s
+        now_s = self.last_activity_s
         if not self._first_s:
             self._first_s = now_s
         else:
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -147,7 +147,9 @@
     def _compute_wait(self, now_s: float) -> float:
         """Returns the seconds until the next check."""
         with self._lock:
-            heard_s = min((s.heard_s for s in self._streams), default=now_s)
+            heard_s = min(
+                (s.last_activity_s for s in self._streams), default=now_s
+            )
         rest_s = heard_s + silence.MIN_SILENCE_S - now_s
         return min(max(rest_s, MIN_CHECK_INTERVAL_S), MAX_CHECK_INTERVAL_S)
 
@@ -178,13 +180,15 @@
         """Finds dead stages from silent streams, before a report names them."""
         begun = [s for s in streams if s.has_begun]
         # Fast path: checks are frequent and nearly all find no silent stream.
-        if all(now_s - s.heard_s <= silence.MIN_SILENCE_S for s in begun):
+        if all(
+            now_s - s.last_activity_s <= silence.MIN_SILENCE_S for s in begun
+        ):
             return
         suspects = silence.find_suspects(
             [
                 silence.Heard(
                     tuple(p.id for p in s.parts),
-                    now_s - s.heard_s,
+                    now_s - s.last_activity_s,
                     s.usual_gap_s,
                 )
                 for s in begun
@@ -236,7 +240,7 @@
         return {
             p.id
             for s in streams
-            if now_s - s.heard_s > silence.MIN_SILENCE_S
+            if now_s - s.last_activity_s > silence.MIN_SILENCE_S
             for p in s.parts
             if p.id in heard
         }
@@ -271,7 +275,7 @@
             self._reroute(stream, stalled)
 
         # In parallel, since each waits for an engine's reply.
-        least_late = sorted(over, key=lambda s: -s.heard_s)
+        least_late = sorted(over, key=lambda s: -s.last_activity_s)
         concurrent.futures.wait(
             [self._pool.submit(leave, s) for s in least_late]
         )
@@ -295,7 +299,7 @@
             stream.stalled |= stalled
             if stalled and self._reroute(stream, stalled):
                 continue
-            silent_s = time.monotonic() - stream.heard_s
+            silent_s = time.monotonic() - stream.last_activity_s
             if silent_s > _get_abort_silence_s(stream) and stalled:
                 self._end_attempt(stream)
 
@@ -328,7 +332,7 @@
             decisions.RequestMoved(
                 stream.job.id,
                 tuple(sorted(stalled)),
-                now_s - stream.heard_s,
+                now_s - stream.last_activity_s,
                 problem,
                 paths.describe(parts),
             )
@@ -349,7 +353,7 @@
 
     If it does not answer either, this host itself is slow or cut off.
     """
-    for stream in sorted(streams, key=lambda s: -s.heard_s):
+    for stream in sorted(streams, key=lambda s: -s.last_activity_s):
         for part in stream.parts:
             if part.id not in suspects:
                 return part
@@ -361,7 +365,7 @@
     bound_s = MAX_FIRST_EVENT_S
     if stream.has_begun:
         bound_s = stream.job.route.gap_s or MAX_SILENCE_S
-    return bool(stream.parts) and now_s - stream.heard_s > bound_s
+    return bool(stream.parts) and now_s - stream.last_activity_s > bound_s
 
 
 def _get_abort_silence_s(stream: forward.Forwarder) -> float:
