--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -168,7 +168,7 @@
         # The current attempt has delivered an event.
         self.has_begun = False
         # Smoothed seconds between two events.
-        self.usual_gap_s = silence.INITIAL_GAP_S
+        self.smoothed_gap_s = silence.INITIAL_GAP_S
         # For the log: number of attempts, times of the first and the last
         # event, and the longest gap between two.
         self._attempts = 0
@@ -418,7 +418,7 @@
         else:
             gap_s = now_s - self._last_s
             self._gap_s = max(self._gap_s, gap_s)
-            self.usual_gap_s = silence.smooth_gap(self.usual_gap_s, gap_s)
+            self.smoothed_gap_s = silence.smooth_gap(self.smoothed_gap_s, gap_s)
             if gap_s > (self.job.route.gap_s or paces.SUSPICIOUS_GAP_S):
                 ids = tuple(p.id for p in self.parts)
                 self._desk.tell(desk.Suspect(ids))
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -189,7 +189,7 @@
                 silence.Heard(
                     tuple(p.id for p in s.parts),
                     now_s - s.last_activity_s,
-                    s.usual_gap_s,
+                    s.smoothed_gap_s,
                 )
                 for s in begun
             ]
