--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -157,7 +157,7 @@
         # Events read before the answer to the caller was begun.
         self._first_events = b""
         # The caller disconnected.
-        self.is_gone = False
+        self.is_caller_gone = False
         # An upstream's answer completed and was not an error.
         self._is_answered = False
         # Read by the stream watch: when the attempt was sent or last received
@@ -180,7 +180,7 @@
 
     def abandon(self) -> None:
         """Ends the request after its caller disconnected; from any thread."""
-        self.is_gone = True
+        self.is_caller_gone = True
         self._abort.abort_all()
         fut = self._fut
         if fut is not None:
@@ -220,7 +220,7 @@
             if lost is None:
                 self._is_answered = True
                 return None
-            if self.is_gone:
+            if self.is_caller_gone:
                 return errors.Refusal(
                     errors.ErrorKind.CALLER_GONE, "caller disconnected"
                 )
@@ -253,7 +253,7 @@
         now_s = time.monotonic()
         total_s = now_s - self.job.arrived_s
         count = self._merge.count
-        if self.is_gone:
+        if self.is_caller_gone:
             silent_s = now_s - (self._last_s or self.job.arrived_s)
             decisions.record(
                 decisions.RequestLeft(self.job.id, count, silent_s, total_s)
@@ -282,7 +282,7 @@
         """Waits for a decision, the caller's disconnect or the deadline."""
         fut = self._fut
         assert fut is not None
-        if self.is_gone:
+        if self.is_caller_gone:
             return errors.Refusal(
                 errors.ErrorKind.CALLER_GONE, "caller disconnected"
             )
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -227,7 +227,7 @@
         try:
             refusal = self._run.run(write)
         except web.CallerGone:
-            self._run.is_gone = True
+            self._run.is_caller_gone = True
             raise
         finally:
             self._run.record_end(200, refusal)
