--- a/egretspur/delivery/answers.py
+++ b/egretspur/delivery/answers.py
@@ -44,15 +44,15 @@
         is_streaming: Whether the route's answers are event streams.
         has_begun: Whether the caller has received part of its answer.
     """
-    kind = content_type.partition(";")[0].strip().lower()
-    is_events = kind in ("", EVENTS_TYPE)
+    media_type = content_type.partition(";")[0].strip().lower()
+    is_events = media_type in ("", EVENTS_TYPE)
     if is_streaming and status == 200 and is_events:
         return ForwardMode.EVENTS
     if not has_begun:
         return ForwardMode.WHOLE
     if status != 200:
         return Unusable(f"status {status} instead of the remaining events")
-    return Unusable(f"{kind} instead of the remaining events")
+    return Unusable(f"{media_type} instead of the remaining events")
 
 
 def check_end(
--- a/egretspur/delivery/attempts.py
+++ b/egretspur/delivery/attempts.py
@@ -75,10 +75,10 @@
     finished: bool = False
 
 
-def begin_attempt(merge: Merge, trail: str) -> int:
+def begin_attempt(merge: Merge, expected_layers: str) -> int:
     """Begins the next attempt; returns its number."""
     merge.attempt += 1
-    merge.expected_layers = trail
+    merge.expected_layers = expected_layers
     return merge.attempt
 
 
--- a/egretspur/delivery/events.py
+++ b/egretspur/delivery/events.py
@@ -52,26 +52,26 @@
         the error.
         """
         self._buffer += data
-        passed: list[bytes] = []
+        accepted: list[bytes] = []
         while self.fault is None:
             end = _find_end(self._buffer)
             if end < 0:
                 break
             event, self._buffer = self._buffer[:end], self._buffer[end:]
-            self.fault = self._accept_event(event, passed)
+            self.fault = self._accept_event(event, accepted)
         if len(self._buffer) > MAX_EVENT_BYTES:
             self.fault = StreamFault.MALFORMED
-        if self.fault is not None and not passed:
+        if self.fault is not None and not accepted:
             return self.fault
-        return b"".join(passed)
+        return b"".join(accepted)
 
     def _accept_event(
-        self, event: bytes, passed: list[bytes]
+        self, event: bytes, accepted: list[bytes]
     ) -> StreamFault | None:
         number = _read_id(event)
         if number is None:
             # Events without an id, such as comments, are forwarded unchecked.
-            passed.append(event)
+            accepted.append(event)
             return None
         if self.last_id is not None:
             if number <= self.last_id:
@@ -80,7 +80,7 @@
                 return StreamFault.GAP
         self.last_id = number
         self.count += 1
-        passed.append(event)
+        accepted.append(event)
         return None
 
 
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -1,6 +1,6 @@
 """Runs the attempts of one request and forwards the answer to the caller.
 
-There is one `Forward` for each request, in the thread of the caller's
+There is one `Forwarder` for each request, in the thread of the caller's
 connection. `egretspur.routing.broker` decides where an attempt is sent and
 what follows a failure, `egretspur.delivery.answers` whether an answer is
 usable, and `egretspur.delivery.events` which of its bytes are forwarded.
@@ -107,11 +107,11 @@
             close()
 
     def set_closer(self, close: Callable[[], None] | None) -> None:
-        """Sets the function that closes the current connection."""
+        """Sets how to close the current connection; closes it if aborted."""
         with self._lock:
             self._close = close
-            fire = self.is_aborted and close is not None
-        if fire and close is not None:
+            should_close = self.is_aborted and close is not None
+        if should_close and close is not None:
             close()
 
 
@@ -213,18 +213,18 @@
     def run(self, write: Write) -> errors.Refusal | None:
         """Forwards a stream; returns why it ended early, if it did."""
         write(self._first_events)
-        lost: AttemptFailure | None = None
+        failure: AttemptFailure | None = None
         while True:
-            if lost is None:
-                lost = self._forward_events(write)
-            if lost is None:
+            if failure is None:
+                failure = self._forward_events(write)
+            if failure is None:
                 self._is_answered = True
                 return None
             if self.is_caller_gone:
                 return errors.Refusal(
                     errors.ErrorKind.CALLER_GONE, "caller disconnected"
                 )
-            self._end_attempt(lost)
+            self._end_attempt(failure)
             decision = self._wait()
             if isinstance(decision, errors.Refusal):
                 return decision
@@ -232,7 +232,7 @@
             if self._merge.last_id is not None:
                 after = str(self._merge.last_id)
             res = self._resume(decision, after)
-            lost = res if isinstance(res, AttemptFailure) else None
+            failure = res if isinstance(res, AttemptFailure) else None
 
     def close(self) -> None:
         """Ends the request and closes an open connection."""
@@ -321,9 +321,9 @@
         res = self._open(start, after)
         if isinstance(res, AttemptFailure):
             return res
-        form = self._classify(res, has_begun=True)
-        if isinstance(form, answers.Unusable):
-            return AttemptFailure(jobs.Why.FAILED, form.reason)
+        mode = self._classify(res, has_begun=True)
+        if isinstance(mode, answers.Unusable):
+            return AttemptFailure(jobs.Why.FAILED, mode.reason)
         return res
 
     def _classify(
@@ -345,12 +345,12 @@
             body = self._read_body(answer)
             if isinstance(body, AttemptFailure):
                 return body
-            whole = CompleteAnswer(answer.status, answer.headers, body)
+            complete = CompleteAnswer(answer.status, answer.headers, body)
             if answer.status == 200 or not self._may_retry(answer):
                 self._is_answered = answer.status < 500
                 self._desk.tell(desk.Answered(self.job.id))
-                return whole
-            self._error_answer = whole
+                return complete
+            self._error_answer = complete
             return AttemptFailure(jobs.Why.FAILED, f"status {answer.status}")
         while not self._first_events:
             res = self._read_events(answer)
@@ -400,16 +400,20 @@
 
     def _check_end(self, answer: Answer) -> AttemptFailure | None:
         """Returns why a stream that ended is incomplete; None if it is not."""
-        flaw = self._merge.fault
-        if flaw is not None:
-            return AttemptFailure(jobs.Why.CUT, f"events: {flaw.value}")
+        fault = self._merge.fault
+        if fault is not None:
+            return AttemptFailure(jobs.Why.CUT, f"events: {fault.value}")
         if self._merge.has_partial_event():
             return AttemptFailure(jobs.Why.CUT, "ended within an event")
         before = self._count_before
-        unfit = answers.check_end(
+        unusable = answers.check_end(
             answer.status, before > 0, self._merge.count > before
         )
-        return AttemptFailure(jobs.Why.FAILED, unfit.reason) if unfit else None
+        return (
+            AttemptFailure(jobs.Why.FAILED, unusable.reason)
+            if unusable
+            else None
+        )
 
     def _record_event(self) -> None:
         now_s = self.last_activity_s
@@ -438,7 +442,7 @@
                 return None
             write(res)
 
-    def _end_attempt(self, lost: AttemptFailure) -> None:
+    def _end_attempt(self, failure: AttemptFailure) -> None:
         """Closes a failed attempt and reports it to the broker."""
         if self._watch is not None:
             self._watch.remove(self)
@@ -446,29 +450,29 @@
             self._answer.close()
             self._answer = None
         self._abort.set_closer(None)
-        blamed = lost.blamed or tuple(self.stalled)
+        blamed = failure.blamed or tuple(self.stalled)
         count = self._merge.count
-        brought = count - self._count_before
+        new_count = count - self._count_before
         decisions.record(
             decisions.AttemptFailed(
                 self.job.id,
                 self._attempts,
-                lost.why.value,
-                lost.reason,
+                failure.why.value,
+                failure.reason,
                 blamed,
                 count,
-                brought,
+                new_count,
                 self.job.fingerprint,
             )
         )
         self._fut = self._desk.fail(
             jobs.Failure(
                 self.job.id,
-                lost.why,
-                lost.reason,
+                failure.why,
+                failure.reason,
                 blamed,
                 count > 0,
-                brought > 0,
+                new_count > 0,
             )
         )
 
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -238,10 +238,10 @@
         assert grant is not None and stream is not None
         # The long limit covers the prefill; after this attempt's first token
         # the short one applies, so that a silent stage is noticed.
-        bound_s = stream.between_s
+        max_silence_s = stream.between_s
         if len(self._merge.tokens) == self._first_position:
-            bound_s = self._tools.first_event_s
-        broken = self._tools.pump.run(stream, self, bound_s)
+            max_silence_s = self._tools.first_event_s
+        broken = self._tools.pump.run(stream, self, max_silence_s)
         if self._caller_error is not None:
             raise self._caller_error
         if broken is not None:
@@ -295,13 +295,13 @@
 
     def _report_progress(self, load: int) -> None:
         now = time.monotonic()
-        passed = now - self._reported_s
-        if load < 0 and passed < PROGRESS_INTERVAL_S:
+        elapsed_s = now - self._reported_s
+        if load < 0 and elapsed_s < PROGRESS_INTERVAL_S:
             return
         count = len(self._merge.tokens)
         self._traffic.tell(
             requests.Progress(
-                self._prompt.id, count - self._reported_tokens, passed, load
+                self._prompt.id, count - self._reported_tokens, elapsed_s, load
             )
         )
         self._reported_s = now
--- a/egretspur/delivery/silence.py
+++ b/egretspur/delivery/silence.py
@@ -65,13 +65,13 @@
         if _is_silent(stream, MIN_SILENT_GAPS, MIN_SILENCE_S)
         for stage in _list_candidates(stream, shortest)
     )
-    alone = {
+    single = {
         stage
         for stream in streams
         if _is_silent(stream, SINGLE_MIN_SILENT_GAPS, SINGLE_MIN_SILENCE_S)
         for stage in _list_candidates(stream, shortest)
     }
-    return alone | {s for s, n in together.items() if n >= MIN_SILENT_STREAMS}
+    return single | {s for s, n in together.items() if n >= MIN_SILENT_STREAMS}
 
 
 def smooth_gap(old_s: float, gap_s: float) -> float:
@@ -91,5 +91,5 @@
     Only the second half of its silence counts: events that passed a stage just
     before it died may arrive after the silent stream's own last event.
     """
-    bound_s = stream.silent_s / 2
-    return [s for s in stream.stages if shortest[s] >= bound_s]
+    limit_s = stream.silent_s / 2
+    return [s for s in stream.stages if shortest[s] >= limit_s]
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -75,17 +75,21 @@
     """Detects silent streams in a thread and reroutes or ends them."""
 
     def __init__(
-        self, to: desk.Desk, engines: Engines, is_early: bool = True
+        self,
+        to: desk.Desk,
+        engines: Engines,
+        checks_shared_silence: bool = True,
     ) -> None:
         """Creates a watch; `start` starts its thread.
 
         Args:
             to: Chooses other paths.
             engines: Fetches reports and sends orders.
-            is_early: Whether to check for streams that fall silent together.
+            checks_shared_silence: Whether to check for streams that fall
+                silent together.
         """
         self._desk = to
-        self._checks_shared_silence = is_early
+        self._checks_shared_silence = checks_shared_silence
         self._engines = engines
         self._lock = threading.Lock()
         self._streams: set[forward.Forwarder] = set()
@@ -147,11 +151,11 @@
     def _compute_wait(self, now_s: float) -> float:
         """Returns the seconds until the next check."""
         with self._lock:
-            heard_s = min(
+            last_activity_s = min(
                 (s.last_activity_s for s in self._streams), default=now_s
             )
-        rest_s = heard_s + silence.MIN_SILENCE_S - now_s
-        return min(max(rest_s, MIN_CHECK_INTERVAL_S), MAX_CHECK_INTERVAL_S)
+        wait_s = last_activity_s + silence.MIN_SILENCE_S - now_s
+        return min(max(wait_s, MIN_CHECK_INTERVAL_S), MAX_CHECK_INTERVAL_S)
 
     def look(self, now_s: float) -> None:
         """Handles the streams that are silent now."""
@@ -234,15 +238,15 @@
                 for i, t in self._peer_suspects.items()
                 if now_s - t < PEER_SUSPICION_S
             }
-            heard = set(self._peer_suspects)
-        if not heard:
+            suspects = set(self._peer_suspects)
+        if not suspects:
             return set()
         return {
             p.id
             for s in streams
             if now_s - s.last_activity_s > silence.MIN_SILENCE_S
             for p in s.parts
-            if p.id in heard
+            if p.id in suspects
         }
 
     def _probe(self, addresses: Mapping[str, str]) -> frozenset[str]:
@@ -267,7 +271,7 @@
         """Reroutes streams around dead stages, the least late ones first."""
         for upstream_id in dead:
             self._desk.tell(desk.NoteFailed(upstream_id))
-        over = [s for s in streams if dead & {p.id for p in s.parts}]
+        affected = [s for s in streams if dead & {p.id for p in s.parts}]
 
         def leave(stream: forward.Forwarder) -> None:
             stalled = frozenset(p.id for p in stream.parts) & dead
@@ -275,7 +279,7 @@
             self._reroute(stream, stalled)
 
         # In parallel, since each waits for an engine's reply.
-        least_late = sorted(over, key=lambda s: -s.last_activity_s)
+        least_late = sorted(affected, key=lambda s: -s.last_activity_s)
         concurrent.futures.wait(
             [self._pool.submit(leave, s) for s in least_late]
         )
@@ -317,9 +321,9 @@
     ) -> bool:
         """Reroutes a stream; returns whether it was, now or recently."""
         now_s = time.monotonic()
-        moved_s = self._rerouted_s.get(stream)
-        if moved_s is not None:
-            return now_s - moved_s < _get_abort_silence_s(stream)
+        rerouted_s = self._rerouted_s.get(stream)
+        if rerouted_s is not None:
+            return now_s - rerouted_s < _get_abort_silence_s(stream)
         detour = self._desk.repath(stream.job.id, stalled, stream.has_begun)
         if detour.is_ended:
             stream.interrupt()
@@ -362,10 +366,10 @@
 
 def is_silent(stream: forward.Forwarder, now_s: float) -> bool:
     """Returns whether a stream has had no event for too long."""
-    bound_s = MAX_FIRST_EVENT_S
+    limit_s = MAX_FIRST_EVENT_S
     if stream.has_begun:
-        bound_s = stream.job.route.gap_s or MAX_SILENCE_S
-    return bool(stream.parts) and now_s - stream.last_activity_s > bound_s
+        limit_s = stream.job.route.gap_s or MAX_SILENCE_S
+    return bool(stream.parts) and now_s - stream.last_activity_s > limit_s
 
 
 def _get_abort_silence_s(stream: forward.Forwarder) -> float:
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -155,7 +155,7 @@
 
 @attrs.define
 class FakeUpstreams:
-    """Attempts by script; see `forward.Upstreams`."""
+    """Attempts by script; see `forward.AttemptSender`."""
 
     scripts: list[Script] = attrs.Factory(list)
     starts: list[jobs.Start] = attrs.Factory(list)
@@ -526,7 +526,7 @@
     thread = threading.Thread(target=run, args=(context, "streaming"))
     thread.start()
     time.sleep(seconds)
-    context.forward.leave()
+    context.forward.abandon()
     context.left_s = time.monotonic()
     thread.join(5.0)
     assert not thread.is_alive()
@@ -582,7 +582,7 @@
     # The engine is asked after 0.3 s of silence and at most 0.1 s more.
     assert at_s - context.began_s <= seconds, at_s - context.began_s
     assert [p.id for p in parts][:2] == ["a100-0", "a100-twin"], parts
-    context.forward.leave()
+    context.forward.abandon()
     # It must not outlive its scenario and write into the next one's context.
     context.thread.join(5.0)
     assert not context.thread.is_alive()
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -407,7 +407,7 @@
 def step_patience(context: Any, patience: float, asked: float) -> None:
     assert abs(context.route.patience_s - patience) < 1e-9
     job = attrs.evolve(fleets.make_job("r"), route=context.route)
-    stream: Any = silence_steps.Stream(job, ("part",), heard_s=10.0)
+    stream: Any = silence_steps.Stream(job, ("part",), last_activity_s=10.0)
     assert not watch.is_silent(stream, 10.0 + asked - 0.01)
     assert watch.is_silent(stream, 10.0 + asked + 0.01)
 
--- a/tests/steps/silence_steps.py
+++ b/tests/steps/silence_steps.py
@@ -38,13 +38,13 @@
 
 @attrs.define(eq=False)
 class Stream:
-    """A running stream as the watch sees it; see `forward.Forward`."""
+    """A running stream as the watch sees it; see `forward.Forwarder`."""
 
     job: jobs.Job
     parts: Any
-    heard_s: float
+    last_activity_s: float
     has_begun: bool = True
-    usual_gap_s: float = 0.02
+    smoothed_gap_s: float = 0.02
     stalled: set[str] = attrs.Factory(set)
     is_ended: bool = False
 
--- a/tests/steps/upstream_steps.py
+++ b/tests/steps/upstream_steps.py
@@ -116,7 +116,7 @@
     context.began_s = time.monotonic()
     thread.start()
     time.sleep(seconds)
-    context.leaving.set()
+    context.leaving.abort_all()
     thread.join(5.0)
     context.took_s = time.monotonic() - context.began_s
 
