--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -145,7 +145,7 @@
         self.call = call
         self.job = job
         self._desk = to
-        self._upstreams = upstreams
+        self._sender = upstreams
         self._watch = watch
         self._abort = AbortHandle()
         self._fut: desk.DecisionFuture | None = None
@@ -307,9 +307,7 @@
         # the first event, so a stage that is already dead delays both.
         if self._watch is not None and start.parts:
             self._watch.add(self)
-        res = self._upstreams.open(
-            self.call, self.job, start, after, self._abort
-        )
+        res = self._sender.open(self.call, self.job, start, after, self._abort)
         if isinstance(res, AttemptFailure):
             return res
         self._answer = res
