--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -62,7 +62,7 @@
         rng: random.Random,
     ) -> None:
         self._desk = to
-        self._upstreams = upstreams
+        self._sender = upstreams
         self._watch = watch
         self._rng = rng
         self._cfg: config.Configuration | None = None
@@ -98,7 +98,7 @@
             return web.reply_refusal(job)
         self._record_admitted(job)
         run = forward.Forwarder(
-            inbound.call, job, self._desk, self._upstreams, self._watch
+            inbound.call, job, self._desk, self._sender, self._watch
         )
         with self._lock:
             self.in_flight += 1
