--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -21,7 +21,7 @@
 from egretspur.routing import desk, jobs
 
 # Retry-After of a host that has no configuration yet.
-STARTING_S: Final = 0.5
+STARTING_RETRY_AFTER_S: Final = 0.5
 
 # Retry-After of a host that is stopping; the retry goes to another host,
 # which is ready.
@@ -130,7 +130,9 @@
         cfg = self._cfg
         if cfg is None:
             return errors.Refusal(
-                errors.ErrorKind.NOT_CONFIGURED, "starting", STARTING_S
+                errors.ErrorKind.NOT_CONFIGURED,
+                "starting",
+                STARTING_RETRY_AFTER_S,
             )
         route = cfg.find_route(inbound.host, inbound.path)
         if route is None:
