--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -25,7 +25,7 @@
 
 # Retry-After of a host that is stopping; the retry goes to another host,
 # which is ready.
-STOPPING_S: Final = 0.05
+STOPPING_RETRY_AFTER_S: Final = 0.05
 
 
 @attrs.frozen
@@ -125,7 +125,7 @@
         """Returns the job of a request, or why it is refused."""
         if self._is_stopping:
             return errors.Refusal(
-                errors.ErrorKind.STOPPING, "stop signal", STOPPING_S
+                errors.ErrorKind.STOPPING, "stop signal", STOPPING_RETRY_AFTER_S
             )
         cfg = self._cfg
         if cfg is None:
