--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Inbound:
+class InboundRequest:
     """A caller's request as received."""
 
     call: forward.Call
@@ -82,7 +82,7 @@
         """
         self._is_stopping = True
 
-    def serve(self, inbound: Inbound, req: web.Request) -> web.Response:
+    def serve(self, inbound: InboundRequest, req: web.Request) -> web.Response:
         """Serves one request."""
         job = self.make_job(inbound, time.monotonic())
         if isinstance(job, errors.Refusal):
@@ -120,7 +120,7 @@
         return web.Response(res.status, dict(res.headers), body)
 
     def make_job(
-        self, inbound: Inbound, now_s: float
+        self, inbound: InboundRequest, now_s: float
     ) -> jobs.Job | errors.Refusal:
         """Returns the job of a request, or why it is refused."""
         if self._is_stopping:
@@ -182,7 +182,9 @@
             self.in_flight -= 1
 
 
-def _compute_fingerprint(inbound: Inbound, workspace: config.Workspace) -> str:
+def _compute_fingerprint(
+    inbound: InboundRequest, workspace: config.Workspace
+) -> str:
     """Returns the fingerprint that is the same for retries of a request.
 
     It contains the workspace instead of the API key, since a workspace may
@@ -198,7 +200,9 @@
     )
 
 
-def _estimate_tokens(service: config.Service | None, inbound: Inbound) -> float:
+def _estimate_tokens(
+    service: config.Service | None, inbound: InboundRequest
+) -> float:
     if service is None or service.engine is None:
         return 0.0
     spec = service.engine
--- a/egretspur/platform/ingress.py
+++ b/egretspur/platform/ingress.py
@@ -28,7 +28,7 @@
 _BEARER: Final = "bearer "
 
 
-def read_request(req: web.Request) -> intake.Inbound:
+def read_request(req: web.Request) -> intake.InboundRequest:
     """Returns a request in the product's terms."""
     fields = req.get_headers()
     target = req.get_target()
@@ -44,7 +44,7 @@
         body=req.read_body(),
         resume_after=fields.get(names.RESUME_AFTER, ""),
     )
-    return intake.Inbound(
+    return intake.InboundRequest(
         call=call,
         host=fields.get("Host", ""),
         path=target.partition("?")[0],
