--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -39,7 +39,7 @@
     # API key; empty if the caller sent none.
     key: str
     # Seconds that the caller waits for its answer; None if not stated.
-    patience_s: float | None
+    caller_timeout_s: float | None
     # Sizes of a request for a model, in tokens; 0 for others: the prompt, the
     # largest answer allowed and the answer expected.
     prompt: int
@@ -145,8 +145,8 @@
             workspace = found
         service = config.choose_service(route, self._rng)
         wait_s = route.timeout_s
-        if inbound.patience_s is not None:
-            wait_s = min(wait_s, inbound.patience_s)
+        if inbound.caller_timeout_s is not None:
+            wait_s = min(wait_s, inbound.caller_timeout_s)
         priority = workspace.priority
         return jobs.Job(
             id=inbound.call.id,
--- a/egretspur/platform/ingress.py
+++ b/egretspur/platform/ingress.py
@@ -49,7 +49,7 @@
         host=fields.get("Host", ""),
         path=target.partition("?")[0],
         key=_read_key(fields.get(names.KEY, "")),
-        patience_s=_read_patience(fields.get(names.DEADLINE, "")),
+        caller_timeout_s=_read_patience(fields.get(names.DEADLINE, "")),
         prompt=tokens.prompt if tokens else 0,
         longest=tokens.longest if tokens else 0,
         estimate=tokens.estimate if tokens else 0,
