--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -42,7 +42,7 @@
     caller_timeout_s: float | None
     # Sizes of a request for a model, in tokens; 0 for others: the prompt, the
     # largest answer allowed and the answer expected.
-    prompt: int
+    prompt_tokens: int
     longest: int
     estimate: int
 
@@ -207,7 +207,7 @@
         return 0.0
     spec = service.engine
     return room.estimate_tokens(
-        inbound.prompt or spec.usual_prompt,
+        inbound.prompt_tokens or spec.usual_prompt,
         inbound.longest,
         inbound.estimate,
         spec.usual_answer,
--- a/egretspur/platform/ingress.py
+++ b/egretspur/platform/ingress.py
@@ -50,7 +50,7 @@
         path=target.partition("?")[0],
         key=_read_key(fields.get(names.KEY, "")),
         caller_timeout_s=_read_patience(fields.get(names.DEADLINE, "")),
-        prompt=tokens.prompt if tokens else 0,
+        prompt_tokens=tokens.prompt if tokens else 0,
         longest=tokens.longest if tokens else 0,
         estimate=tokens.estimate if tokens else 0,
     )
