--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -43,7 +43,7 @@
     # Sizes of a request for a model, in tokens; 0 for others: the prompt, the
     # largest answer allowed and the answer expected.
     prompt_tokens: int
-    longest: int
+    max_answer_tokens: int
     estimate: int
 
 
@@ -208,7 +208,7 @@
     spec = service.engine
     return room.estimate_tokens(
         inbound.prompt_tokens or spec.usual_prompt,
-        inbound.longest,
+        inbound.max_answer_tokens,
         inbound.estimate,
         spec.usual_answer,
     )
--- a/egretspur/platform/ingress.py
+++ b/egretspur/platform/ingress.py
@@ -51,7 +51,7 @@
         key=_read_key(fields.get(names.KEY, "")),
         caller_timeout_s=_read_patience(fields.get(names.DEADLINE, "")),
         prompt_tokens=tokens.prompt if tokens else 0,
-        longest=tokens.longest if tokens else 0,
+        max_answer_tokens=tokens.longest if tokens else 0,
         estimate=tokens.estimate if tokens else 0,
     )
 
