--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -44,7 +44,7 @@
     # largest answer allowed and the answer expected.
     prompt_tokens: int
     max_answer_tokens: int
-    estimate: int
+    expected_answer_tokens: int
 
 
 class AnswerCutError(ConnectionAbortedError):
@@ -209,7 +209,7 @@
     return room.estimate_tokens(
         inbound.prompt_tokens or spec.usual_prompt,
         inbound.max_answer_tokens,
-        inbound.estimate,
+        inbound.expected_answer_tokens,
         spec.usual_answer,
     )
 
--- a/egretspur/platform/ingress.py
+++ b/egretspur/platform/ingress.py
@@ -52,7 +52,7 @@
         caller_timeout_s=_read_patience(fields.get(names.DEADLINE, "")),
         prompt_tokens=tokens.prompt if tokens else 0,
         max_answer_tokens=tokens.longest if tokens else 0,
-        estimate=tokens.estimate if tokens else 0,
+        expected_answer_tokens=tokens.estimate if tokens else 0,
     )
 
 
