--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -47,7 +47,7 @@
     expected_answer_tokens: int
 
 
-class AnswerCutError(ConnectionAbortedError):
+class AnswerInterruptedError(ConnectionAbortedError):
     """A streamed answer ended early; aborts the caller's connection."""
 
 
@@ -239,4 +239,4 @@
             self._run.record_end(200, refusal)
             self._end(self._run)
         if refusal is not None:
-            raise AnswerCutError(refusal.reason)
+            raise AnswerInterruptedError(refusal.reason)
