--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -227,7 +227,7 @@
         """Writes the events.
 
         Raises:
-            AnswerCutError: The stream ended early.
+            AnswerInterruptedError: The stream ended early.
         """
         refusal: errors.Refusal | None = None
         try:
--- a/egretspur/delivery/pump.py
+++ b/egretspur/delivery/pump.py
@@ -33,7 +33,7 @@
 class Consumer(Protocol):
     """Handles the events of one stream, in the pump's thread."""
 
-    def take(self, events: list[engine.Event]) -> bool:
+    def handle_events(self, events: list[engine.Event]) -> bool:
         """Handles events; returns whether to read more."""
 
 
@@ -167,7 +167,7 @@
         entry.last_read_s = time.monotonic()
         entry.max_silence_s = entry.stream.between_s
         try:
-            wants_more = entry.consumer.take(events)
+            wants_more = entry.consumer.handle_events(events)
         except Exception as exc:
             # A failure of one stream must not stop the others.
             _LOG.exception("stream consumer failed")
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -171,7 +171,7 @@
         self._cancel_attempt()
         self._traffic.finish(self._prompt.id, self._merge.finished)
 
-    def take(self, events: list[engine.Event]) -> bool:
+    def handle_events(self, events: list[engine.Event]) -> bool:
         """Handles events from the pump; False once the attempt has ended."""
         texts: list[str] = []
         self._fault = self._accept(events, texts)
--- a/tests/steps/relay_steps.py
+++ b/tests/steps/relay_steps.py
@@ -129,7 +129,7 @@
 class Ending:
     """Wants no more after the first events; see `pump.Consumer`."""
 
-    def take(self, events: list[engine.Event]) -> bool:
+    def handle_events(self, events: list[engine.Event]) -> bool:
         """Takes the end."""
         return False
 
@@ -233,7 +233,7 @@
     def __init__(self) -> None:
         self.events: list[engine.Event] = []
 
-    def take(self, events: list[engine.Event]) -> bool:
+    def handle_events(self, events: list[engine.Event]) -> bool:
         """Wants more until the end has come."""
         self.events += events
         return isinstance(events[-1], engine.TokenEvent)
