--- a/egretspur/daemons/router.py
+++ b/egretspur/daemons/router.py
@@ -79,7 +79,7 @@
             timing.between_events_s,
             self._traffic.note_signals,
         )
-        self._tools = relay.Tools(
+        self._tools = relay.RelayDependencies(
             self._traffic,
             self._engines,
             relay.Canceller(self._engines),
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -85,7 +85,7 @@
 
 
 @attrs.frozen
-class Tools:
+class RelayDependencies:
     """Objects shared by all relays of a router."""
 
     traffic: traffics.Traffic
@@ -107,7 +107,7 @@
     def __init__(
         self,
         prompt: Prompt,
-        tools: Tools,
+        tools: RelayDependencies,
         is_caller_gone: Callable[[], bool],
     ) -> None:
         self._prompt = prompt
--- a/tests/steps/relay_steps.py
+++ b/tests/steps/relay_steps.py
@@ -81,7 +81,7 @@
 def step_attempt(context: Any, tokens: int) -> None:
     context.stub = Stub(tokens=1)
     stub: Any = context.stub
-    tools = relay.Tools(stub, stub, stub, stub, FIRST_S)
+    tools = relay.RelayDependencies(stub, stub, stub, stub, FIRST_S)
     prompt = relay.Prompt("q", "w", "m", "text", 10)
     context.relay = relay.Relay(prompt, tools, lambda: False)
     assert context.relay.begin() == ["t"]
