--- a/egretspur/delivery/completions.py
+++ b/egretspur/delivery/completions.py
@@ -77,7 +77,7 @@
         request_id: str,
         prompt: relay.Prompt,
         job: relay.Relay,
-        first: list[str] | relay.Whole,
+        first: list[str] | relay.Completion,
         get_backlog: Callable[[], int],
     ) -> None:
         self._job = job
@@ -109,12 +109,12 @@
             write(self._head + orjson.dumps(text) + self._tail)
 
         try:
-            if isinstance(self._first, relay.Whole):
+            if isinstance(self._first, relay.Completion):
                 write(_format_end(self._first))
                 return
             write_tokens(self._first)
             result = self._job.run(write_tokens)
-            if isinstance(result, relay.Whole):
+            if isinstance(result, relay.Completion):
                 write(_format_end(result))
             else:
                 error = codec.dump_json(web.describe_refusal(result))
@@ -123,7 +123,7 @@
             self._job.close()
 
 
-def _format_end(whole: relay.Whole) -> bytes:
+def _format_end(whole: relay.Completion) -> bytes:
     last = {
         "choices": [{"index": 0, "text": "", "finish_reason": "stop"}],
         "usage": {"completion_tokens": whole.count},
@@ -191,11 +191,11 @@
     request_id: str,
     prompt: relay.Prompt,
     job: relay.Relay,
-    first: list[str] | relay.Whole,
+    first: list[str] | relay.Completion,
 ) -> web.Response:
     texts: list[str] = []
     result: relay.Result
-    if isinstance(first, relay.Whole):
+    if isinstance(first, relay.Completion):
         result = first
     else:
         texts.extend(first)
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -48,14 +48,14 @@
 
 
 @attrs.frozen
-class Whole:
+class Completion:
     """The answer is complete."""
 
     count: int
     pipeline: str
 
 
-Result = Whole | errors.Refusal
+Result = Completion | errors.Refusal
 Write = Callable[[list[str]], None]
 
 
@@ -185,8 +185,8 @@
             self._report_progress(-1)
         return self._fault is None and not self._merge.finished
 
-    def _make_completion(self) -> Whole:
-        return Whole(len(self._merge.tokens), self.pipeline)
+    def _make_completion(self) -> Completion:
+        return Completion(len(self._merge.tokens), self.pipeline)
 
     def _wait(
         self, fut: traffics.DecisionFuture
