--- a/egretspur/delivery/silence.py
+++ b/egretspur/delivery/silence.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Heard:
+class StreamActivity:
     """Recent activity of one stream."""
 
     # Ids of the stages on its path.
@@ -48,7 +48,7 @@
     gap_s: float
 
 
-def find_suspects(streams: Sequence[Heard]) -> set[str]:
+def find_suspects(streams: Sequence[StreamActivity]) -> set[str]:
     """Returns the ids of the stages that may stall streams.
 
     Args:
@@ -79,12 +79,14 @@
     return old_s + GAP_WEIGHT * (gap_s - old_s)
 
 
-def _is_silent(stream: Heard, min_gaps: float, min_silence_s: float) -> bool:
+def _is_silent(
+    stream: StreamActivity, min_gaps: float, min_silence_s: float
+) -> bool:
     return stream.silent_s > max(min_silence_s, min_gaps * stream.gap_s)
 
 
 def _list_candidates(
-    stream: Heard, shortest: dict[str, float]
+    stream: StreamActivity, shortest: dict[str, float]
 ) -> Iterable[str]:
     """Returns a stream's stages over which no stream has had an event since.
 
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -190,7 +190,7 @@
             return
         suspects = silence.find_suspects(
             [
-                silence.Heard(
+                silence.StreamActivity(
                     tuple(p.id for p in s.parts),
                     now_s - s.last_activity_s,
                     s.smoothed_gap_s,
--- a/tests/steps/silence_steps.py
+++ b/tests/steps/silence_steps.py
@@ -23,7 +23,9 @@
 @given('streams "{text}"')
 def step_streams(context: Any, text: str) -> None:
     context.heard = [
-        silence.Heard(tuple(p.split("+")), int(ms) / 1000, int(gap) / 1000)
+        silence.StreamActivity(
+            tuple(p.split("+")), int(ms) / 1000, int(gap) / 1000
+        )
         for p, ms, gap, count in _STREAMS.findall(text)
         for _ in range(int(count))
     ]
