--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -377,7 +377,7 @@
 
     def _take_news(self, heard: Sequence[datagrams.News], hosts: int) -> None:
         self._followed.poke(self._known, heard)
-        self._watch.hear({i for n in heard for i in n.suspects})
+        self._watch.record_peer_suspects({i for n in heard for i in n.suspects})
         told = tuple(news.read(n) for n in heard)
         seeds = len(self._cfg.seeds)
         self._desk.tell(desk.Heard(told, max(hosts, seeds)))
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -135,7 +135,7 @@
             if not self._streams:
                 self._has_streams.clear()
 
-    def hear(self, suspects: Collection[str]) -> None:
+    def record_peer_suspects(self, suspects: Collection[str]) -> None:
         """Records upstreams that other hosts report failing."""
         if suspects:
             now_s = time.monotonic()
