--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -146,7 +146,7 @@
         while not self._stop.wait(self._compute_wait(time.monotonic())):
             self._has_streams.wait(IDLE_WAIT_S)
             with guard.surviving("watch"):
-                self.look(time.monotonic())
+                self.check_streams(time.monotonic())
 
     def _compute_wait(self, now_s: float) -> float:
         """Returns the seconds until the next check."""
@@ -157,7 +157,7 @@
         wait_s = last_activity_s + silence.MIN_SILENCE_S - now_s
         return min(max(wait_s, MIN_CHECK_INTERVAL_S), MAX_CHECK_INTERVAL_S)
 
-    def look(self, now_s: float) -> None:
+    def check_streams(self, now_s: float) -> None:
         """Handles the streams that are silent now."""
         with self._lock:
             streams = list(self._streams)
--- a/tests/steps/guard_steps.py
+++ b/tests/steps/guard_steps.py
@@ -243,8 +243,8 @@
 def make_watch(context: Any) -> tuple[Any, FailOnce]:
     """Returns a watch that fails at its first look."""
     found = watch.StreamWatch(None, None)  # type: ignore[arg-type]
-    found.look = FailOnce()  # type: ignore[method-assign]
-    return found, found.look
+    found.check_streams = FailOnce()  # type: ignore[method-assign]
+    return found, found.check_streams
 
 
 def make_prober(context: Any) -> tuple[Any, FailOnce]:
