--- a/egretspur/delivery/completions.py
+++ b/egretspur/delivery/completions.py
@@ -123,11 +123,11 @@
             self._job.close()
 
 
-def _format_end(whole: relay.Completion) -> bytes:
+def _format_end(completion: relay.Completion) -> bytes:
     last = {
         "choices": [{"index": 0, "text": "", "finish_reason": "stop"}],
-        "usage": {"completion_tokens": whole.count},
-        "pipeline": whole.pipeline,
+        "usage": {"completion_tokens": completion.count},
+        "pipeline": completion.pipeline,
     }
     return b"data: " + orjson.dumps(last) + b"\n\ndata: [DONE]\n\n"
 
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -139,13 +139,13 @@
         call: Call,
         job: jobs.Job,
         to: desk.Desk,
-        upstreams: AttemptSender,
+        sender: AttemptSender,
         watch: Watch | None = None,
     ) -> None:
         self.call = call
         self.job = job
         self._desk = to
-        self._sender = upstreams
+        self._sender = sender
         self._watch = watch
         self._abort = AbortHandle()
         self._fut: desk.DecisionFuture | None = None
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -57,12 +57,12 @@
     def __init__(
         self,
         to: desk.Desk,
-        upstreams: forward.AttemptSender,
+        sender: forward.AttemptSender,
         watch: forward.Watch,
         rng: random.Random,
     ) -> None:
         self._desk = to
-        self._sender = upstreams
+        self._sender = sender
         self._watch = watch
         self._rng = rng
         self._cfg: config.Configuration | None = None
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -107,12 +107,12 @@
     def __init__(
         self,
         prompt: Prompt,
-        tools: RelayDependencies,
+        deps: RelayDependencies,
         is_caller_gone: Callable[[], bool],
     ) -> None:
         self._prompt = prompt
-        self._tools = tools
-        self._traffic = tools.traffic
+        self._deps = deps
+        self._traffic = deps.traffic
         self._is_caller_gone = is_caller_gone
         self._merge = attempts.Merge(prompt.id)
         # Path of the current attempt, to cancel it if the caller disconnects.
@@ -205,7 +205,7 @@
         """Starts an attempt; returns its failure if it can't start."""
         call = self._make_call(grant)
         self._grant = grant
-        opened = self._tools.engines.run(call)
+        opened = self._deps.engines.run(call)
         if isinstance(opened, engine.Broken):
             return self._end_broken(grant, opened)
         self._stream = opened
@@ -240,8 +240,8 @@
         # the short one applies, so that a silent stage is noticed.
         max_silence_s = stream.between_s
         if len(self._merge.tokens) == self._first_position:
-            max_silence_s = self._tools.first_event_s
-        broken = self._tools.pump.run(stream, self, max_silence_s)
+            max_silence_s = self._deps.first_event_s
+        broken = self._deps.pump.run(stream, self, max_silence_s)
         if self._caller_error is not None:
             raise self._caller_error
         if broken is not None:
@@ -389,5 +389,5 @@
             self._stream.discard()
             self._stream = None
         if self._grant is not None:
-            self._tools.canceller.cancel(self._grant, self._merge.attempt)
+            self._deps.canceller.cancel(self._grant, self._merge.attempt)
             self._grant = None
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -273,7 +273,7 @@
             self._desk.tell(desk.NoteFailed(upstream_id))
         affected = [s for s in streams if dead & {p.id for p in s.parts}]
 
-        def leave(stream: forward.Forwarder) -> None:
+        def reroute(stream: forward.Forwarder) -> None:
             stalled = frozenset(p.id for p in stream.parts) & dead
             stream.stalled |= stalled
             self._reroute(stream, stalled)
@@ -281,7 +281,7 @@
         # In parallel, since each waits for an engine's reply.
         least_late = sorted(affected, key=lambda s: -s.last_activity_s)
         concurrent.futures.wait(
-            [self._pool.submit(leave, s) for s in least_late]
+            [self._pool.submit(reroute, s) for s in least_late]
         )
 
     def _check_first_engine(
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -354,7 +354,7 @@
     passed = context.inbound.call.headers
     assert set(passed) == {"Host", "Attempt-Id", "X-Own", "Content-Type"}
     assert context.inbound.key == "k1"
-    assert context.inbound.patience_s == 2.5
+    assert context.inbound.caller_timeout_s == 2.5
 
 
 @then("the target and the body are as they were sent")
--- a/tests/steps/silence_steps.py
+++ b/tests/steps/silence_steps.py
@@ -116,12 +116,12 @@
 @when("the watch looks {late_ms:d} ms after the last events")
 def step_look(context: Any, late_ms: int) -> None:
     context.before = [s.parts for s in context.streams]
-    context.play.watch.look(context.heard_s + late_ms / 1000)
+    context.play.watch.check_streams(context.heard_s + late_ms / 1000)
 
 
 @when('other hosts tell that "{name}" is failing')
 def step_told(context: Any, name: str) -> None:
-    context.play.watch.hear({name})
+    context.play.watch.record_peer_suspects({name})
 
 
 @then("the {count:d} streams are moved or resumed, and the others are not")
@@ -161,7 +161,7 @@
 @when("the watch looks each {step_ms:d} ms for {seconds:d} s")
 def step_look_on(context: Any, step_ms: int, seconds: int) -> None:
     for i in range(1, 1000 * seconds // step_ms):
-        context.play.watch.look(context.heard_s + i * step_ms / 1000)
+        context.play.watch.check_streams(context.heard_s + i * step_ms / 1000)
 
 
 @then("each of them is asked at most once, and others are asked")
