--- a/tests/delivery/events.feature
+++ b/tests/delivery/events.feature
@@ -1,7 +1,7 @@
-Feature: Events of one answer, joined over several attempts
+Feature: Joining the events of several attempts into one answer
 
-  Scenario Outline: What is passed on
-    # Symptom: a caller gets an event twice, half of one, or misses one.
+  Scenario Outline: Only complete events are forwarded, in order and once
+    # Guards against repeated, partial and missing events.
     When the bytes "<bytes>" come
     Then "<passed>" is passed on and the rest is "<rest>"
 
@@ -14,7 +14,7 @@
       | 3\| 1\| 5\| 6\| | 3, gap | 6 |
       | 5\| 6\|       | 5 6    |       |
 
-  Scenario: A run that goes on where another broke off
+  Scenario: An attempt resumes where another was interrupted
     When the bytes "1| 2| 3" come
     And another attempt begins
     And the bytes "2| 3| 4|" come
@@ -25,6 +25,6 @@
     Then "1 2 3" is passed on and the rest is ""
 
   @fuzz
-  Scenario: Any cuts and repeats
-    When answers are cut and gone on with at random
+  Scenario: Random interruptions and repeated events
+    When answers are interrupted and resumed at random
     Then each event is passed on once, whole and in order
--- a/tests/delivery/failures.feature
+++ b/tests/delivery/failures.feature
@@ -1,22 +1,21 @@
-Feature: An answer is whole and in order whatever its stages do
+Feature: Answers are complete and in order in spite of failing stages
 
   Background:
     Given a data centre with two chains of two engines in force
 
-  Scenario: A stage dies in the middle of an answer
-    # Symptom: the caller's answer stops half-way.
-    # Sequence: tokens flow, the first stage's process ends, the last stage
-    # has nothing more to say. Cause: without a new attempt from the last
-    # position the rest never comes.
+  Scenario: A stage dies during an answer
+    # Guards against an answer that stops half-way: the first stage's process
+    # ends, the last stage sends nothing more, and no new attempt resumes at
+    # the last position.
     When a caller reads 10 tokens of 120 and the first stage is killed
     Then the answer is whole and in order
-    And the answer went on without the killed stage
+    And the answer was resumed without the killed stage
 
   Scenario Outline: The last stage shows fault "<fault>"
-    # Symptom: lost, doubled, foreign or wrongly computed tokens.
-    # Sequence: the fault is set on all engines of one chain's end before the
-    # request; each attempt over it ends and another goes on elsewhere.
-    # Cause: events taken on trust.
+    # Guards against events accepted unchecked: lost, repeated, misrouted or
+    # wrongly computed tokens. The fault is set on the last engine of one chain
+    # before the request; each attempt over it ends and another chain resumes
+    # the answer.
     When the last stage of one chain has fault "<fault>" set to <value>
     And 4 callers ask for 40 tokens each
     Then every answer is whole and in order
--- a/tests/delivery/relay.feature
+++ b/tests/delivery/relay.feature
@@ -1,38 +1,37 @@
-Feature: The bound on an attempt's silence
+Feature: Relaying an answer through the pump
 
-  Scenario Outline: The long bound ends with the first token
-    # Symptom: an answer stood still for seconds after its first token.
-    # Sequence: the first token has come, then a stage falls silent. Cause: the
-    # bound for the prefill was kept for the first gap after it.
-    Given an attempt that has given <tokens> tokens
+  Scenario Outline: The long silence limit ends with the first token
+    # Guards against the prefill's limit being kept for the first gap after it:
+    # a stage that falls silent after the first token then stalls the answer
+    # for seconds.
+    Given an attempt that has delivered <tokens> tokens
     When its stream is handed to the pump
-    Then the bound on its silence is <bound> s
+    Then its silence limit is <bound> s
 
     Examples:
       | tokens | bound |
       | 0      | 5     |
       | 1      | 2     |
 
-  Scenario: An answer that lies whole in its buffer
-    # Symptom: once in dozens of runs beside load a router gives a caller no
-    # more of its answer, for ever. Sequence: an answer comes whole with its
-    # head, so that it is over before the pump rests. Cause: the pump had found
-    # itself busy before that, and whoever brings the next answer wakes it only
-    # if it rests.
-    Given a pump that was handed an answer which lay whole in its buffer
-    When it is handed an answer that comes later
-    Then that one is passed on as well
+  Scenario: An answer that is completely buffered
+    # Guards against a pump that sleeps for ever while marked busy, which under
+    # load happened once in dozens of runs: an answer arrives completely with
+    # its headers and ends before the pump sleeps. If the pump has marked itself
+    # busy before that, the next answer does not wake it.
+    Given a pump that has read an answer completely buffered beforehand
+    When it is handed an answer that arrives later
+    Then that answer is forwarded as well
 
-  Scenario: An answer that just ends, in the same bytes as its last tokens
-    # Guards against a connection that is used again while the pump still reads
-    # from it for the answer before, which ends the pump.
+  Scenario: An answer ends without an end event, together with its tokens
+    # Guards against a connection that is reused while the pump still reads the
+    # previous answer from it, which ends the pump's thread.
     Given an engine whose answer ends without its end event
     When the pump reads the last tokens together with the end of the body
-    Then the attempt is over by it, and the caller has all tokens
-    And the next answer of that engine is passed on
+    Then the attempt ends at once, and the caller has all tokens
+    And the next answer of that engine is forwarded
 
-  Scenario: A connection that the pump can't watch
-    # Guards against one answer's trouble that stands still all others.
+  Scenario: A connection that the pump can't register
+    # Guards against the failure of one answer stalling all others.
     Given a pump that was handed an answer whose connection is closed
-    When it is handed an answer that comes later
-    Then that one is passed on as well
+    When it is handed an answer that arrives later
+    Then that answer is forwarded as well
--- a/tests/delivery/silence.feature
+++ b/tests/delivery/silence.feature
@@ -1,8 +1,9 @@
-Feature: The stage that holds up streams, found from the streams
+Feature: Finding the stage that stalls streams from their silence
 
   Scenario Outline: Streams over paths that share stages
-    # Symptom: all answers over a dead stage are late: moved after 0.6 s.
-    # Cause: an engine's report tells it some hundred milliseconds later.
+    # Guards against late answers over a dead stage: an engine's report shows
+    # it only some hundred milliseconds later, and the answers are rerouted
+    # after 0.6 s.
     Given streams "<streams>"
     Then the suspected stages are "<suspects>"
 
@@ -22,21 +23,21 @@
       | a+b+c 150/90 x4                      | none     |
 
   Scenario: A stage dies under many streams
-    # Sequence: streams of two paths that share their first stages fall silent;
-    # one stage answers no question, the others do.
+    # Streams over two paths that share their first stages fall silent; one
+    # stage answers no probe, the others do.
     Given a watch over 6 streams on "a100-1" and 2 beside it
     And "a100-1" dies
-    When the watch looks 70 ms after the last events
-    Then the 6 streams are moved or resumed, and the others are not
-    And the desk knows that "a100-1" is down
+    When the watch checks its streams 70 ms after the last events
+    Then the 6 streams are rerouted or resumed, and the others are not
+    And the desk marks "a100-1" as down
 
-  Scenario Outline: The first engine does not answer for a moment
-    # Symptom and cause: as with attempts that are ended without a repeat; an
-    # engine's silence is no reason to end an answer sooner.
+  Scenario Outline: The first engine does not respond for a moment
+    # Guards against attempts that are ended while no retry is allowed: an
+    # engine that does not respond is no reason to end an answer early.
     Given hosts that may repeat <repeats>
     And a watch over 6 streams on "a100-1" and 0 beside it
-    And the first engine answers no question
-    When the watch looks 1200 ms after the last events
+    And the first engine answers no report request
+    When the watch checks its streams 1200 ms after the last events
     Then <count> of the streams are ended
 
     Examples:
@@ -44,39 +45,40 @@
       | nothing  | 0     |
       | as usual | 6     |
 
-  Scenario: A host that hears nobody
-    # Symptom: a host that stands still for a moment moves all its streams.
+  Scenario: A host that gets no response from any engine
+    # Guards against a host that pauses for a moment and reroutes all its
+    # streams.
     Given a watch over 6 streams on "a100-1" and 2 beside it
     And no engine answers the host
-    When the watch looks 70 ms after the last events
-    Then no stream is moved
+    When the watch checks its streams 70 ms after the last events
+    Then no stream is rerouted
 
-  Scenario: Streams that wait while prompts are read
+  Scenario: Streams that wait for other requests' prefills
     Given a watch over 6 streams on "a100-1" and 2 beside it
-    When the watch looks 70 ms after the last events
-    Then no stream is moved
+    When the watch checks its streams 70 ms after the last events
+    Then no stream is rerouted
 
-  Scenario: Another host finds the stage failing
-    # Symptom: among two hundred hosts each has a few streams, too few to show
-    # which of their stages is dead; they are moved after 0.3 s and more.
+  Scenario: Another host reports the stage failing
+    # Guards against late rerouting, after 0.3 s and more: among two hundred
+    # hosts each has only a few streams, too few to show which stage is dead.
     Given a watch over 2 streams on "a100-1" and 0 beside it
     And "a100-1" dies
-    When the watch looks 70 ms after the last events
-    Then no stream is moved
-    When other hosts tell that "a100-1" is failing
-    And the watch looks 80 ms after the last events
-    Then the 2 streams are moved or resumed, and the others are not
+    When the watch checks its streams 70 ms after the last events
+    Then no stream is rerouted
+    When other hosts report "a100-1" failing
+    And the watch checks its streams 80 ms after the last events
+    Then the 2 streams are rerouted or resumed, and the others are not
 
   Scenario: Silent streams over engines at their limits
-    # An engine in need is asked for reports beyond the requests that it takes.
+    # Guards against probes above the request rate that an engine accepts.
     Given a watch over 6 streams on "a100-1" and 0 beside it
     And "a100-0" and "a100-1" take 0.4 requests a second
-    When the watch looks each 100 ms for 3 s
+    When the watch checks its streams every 100 ms for 3 s
     Then each of them is asked at most once, and others are asked
 
-  Scenario: Silent streams over engines that asked for rest
-    # An engine that asked a host for rest is asked for reports all the same.
+  Scenario: Silent streams over engines that set a backoff
+    # Guards against probes sent to an engine during the backoff that it set.
     Given a watch over 6 streams on "a100-1" and 0 beside it
-    And "a100-0" and "a100-1" ask for 30 s of rest
-    When the watch looks each 100 ms for 3 s
+    And "a100-0" and "a100-1" ask for a backoff of 30 s
+    When the watch checks its streams every 100 ms for 3 s
     Then none of them is asked, and others are asked
--- a/tests/steps/callers_steps.py
+++ b/tests/steps/callers_steps.py
@@ -121,7 +121,7 @@
     res.close()
 
 
-@then("within {seconds:d} s no engine works on anything")
+@then("within {seconds:d} s no engine has a running request")
 def step_idle(context: Any, seconds: int) -> None:
     def is_idle() -> bool:
         return all(
@@ -132,7 +132,7 @@
     stage.wait_until(is_idle, seconds, "engines idle")
 
 
-@then("some first stage was told to cancel")
+@then("some first stage has received a cancellation")
 def step_cancelled(context: Any) -> None:
     counts = [context.play.call("GET", n, "/counts") for n in ENGINES]
     assert any(c["cancels"] for c in counts), counts
--- a/tests/steps/delivery_steps.py
+++ b/tests/steps/delivery_steps.py
@@ -95,6 +95,6 @@
         assert answer.whole, answer
 
 
-@then("the answer went on without the killed stage")
+@then("the answer was resumed without the killed stage")
 def step_elsewhere(context: Any) -> None:
     assert context.victim not in context.answers[0].pipeline
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -81,7 +81,7 @@
         assert context.merge.feed(make_event(9)) == context.merge.fault
 
 
-@when("answers are cut and gone on with at random")
+@when("answers are interrupted and resumed at random")
 def step_random_cuts(context: Any) -> None:
     context.results = []
     for seed in range(300):
@@ -307,7 +307,7 @@
     play.watch.start()
 
 
-@given("a watch, and an engine that is dark after event 1")
+@given("a watch, and an engine that stops responding after event 1")
 def step_dark(context: Any) -> None:
     step_watch(context, "none")
     context.play.engines.stalled = "dark"
@@ -395,7 +395,7 @@
     assert reason in matching[0][2], found
 
 
-@then("the engine of attempt 2 is not tried again for it")
+@then("the engine of attempt 2 gets no further attempt of the request")
 def step_not_again(context: Any) -> None:
     assert len(context.play.sends.starts) == 2, context.play.sends.starts
 
@@ -494,7 +494,7 @@
         context.results.append((seed, count, b"".join(written), end))
 
 
-@then("no answer looks whole that lacks an event")
+@then("no incomplete answer looks complete")
 def step_none_lacks(context: Any) -> None:
     wholes = 0
     for seed, count, written, end in context.results:
@@ -539,7 +539,7 @@
     assert (context.end is None) == (kind == "whole"), context.end
 
 
-@then("the second attempt was asked to go on after event {number:d}")
+@then("the second attempt was asked to resume after event {number:d}")
 def step_after(context: Any, number: int) -> None:
     assert context.play.sends.afters == ["", str(number)]
 
@@ -574,7 +574,7 @@
     assert context.took_s <= seconds, context.took_s
 
 
-@then("the engine is told to go on over the twin within {seconds:g} s")
+@then("the engine is ordered to reroute over the twin within {seconds:g} s")
 def step_told(context: Any, seconds: float) -> None:
     moves = context.play.engines.moves
     stage.wait_until(lambda: moves, 5.0, "an order to move")
@@ -588,7 +588,7 @@
     assert not context.thread.is_alive()
 
 
-@then("the first engine is given no more work")
+@then("the first engine gets no further attempts")
 def step_no_work(context: Any) -> None:
     starts = context.play.sends.starts
     assert [s.upstream.id for s in starts] == ["a100-0", "a100-twin"]
--- a/tests/steps/relay_steps.py
+++ b/tests/steps/relay_steps.py
@@ -77,7 +77,7 @@
     )
 
 
-@given("an attempt that has given {tokens:d} tokens")
+@given("an attempt that has delivered {tokens:d} tokens")
 def step_attempt(context: Any, tokens: int) -> None:
     context.stub = Stub(tokens=1)
     stub: Any = context.stub
@@ -98,7 +98,7 @@
         pass
 
 
-@then("the bound on its silence is {bound:g} s")
+@then("its silence limit is {bound:g} s")
 def step_bound(context: Any, bound: float) -> None:
     assert context.stub.bound_s == bound, context.stub
 
@@ -134,7 +134,7 @@
         return False
 
 
-@given("a pump that was handed an answer which lay whole in its buffer")
+@given("a pump that has read an answer completely buffered beforehand")
 def step_buffered(context: Any) -> None:
     context.pump = pump.Pump()
     context.pump.start()
@@ -143,7 +143,7 @@
     assert context.pump.run(stream, Ending(), 2.0) is None
 
 
-@when("it is handed an answer that comes later")
+@when("it is handed an answer that arrives later")
 def step_later_answer(context: Any) -> None:
     context.ends[1].send(b"x")
     stream = BufferedStream(context.ends[0], False)
@@ -153,7 +153,7 @@
     context.thread.start()
 
 
-@then("that one is passed on as well")
+@then("that answer is forwarded as well")
 def step_passed_on(context: Any) -> None:
     context.thread.join(5.0)
     is_stuck = context.thread.is_alive()
@@ -280,14 +280,14 @@
     context.thread.join(SILENCE_S / 2)
 
 
-@then("the attempt is over by it, and the caller has all tokens")
+@then("the attempt ends at once, and the caller has all tokens")
 def step_over(context: Any) -> None:
     assert len(context.taking.events) == 2, context.taking.events
     assert not context.thread.is_alive()
     assert isinstance(context.broken[0], engine.Broken), context.broken
 
 
-@then("the next answer of that engine is passed on")
+@then("the next answer of that engine is forwarded")
 def step_next_answer(context: Any) -> None:
     taking = Taking()
     stream = open_stream(context, "q2")
--- a/tests/steps/silence_steps.py
+++ b/tests/steps/silence_steps.py
@@ -103,7 +103,7 @@
     context.play.engines.dead = {e.address for e in entries}
 
 
-@given("the first engine answers no question")
+@given("the first engine answers no report request")
 def step_first_dark(context: Any) -> None:
     context.play.engines.stalled = "dark"
 
@@ -113,18 +113,18 @@
     assert sum(s.is_ended for s in context.streams) == count
 
 
-@when("the watch looks {late_ms:d} ms after the last events")
+@when("the watch checks its streams {late_ms:d} ms after the last events")
 def step_look(context: Any, late_ms: int) -> None:
     context.before = [s.parts for s in context.streams]
     context.play.watch.check_streams(context.heard_s + late_ms / 1000)
 
 
-@when('other hosts tell that "{name}" is failing')
+@when('other hosts report "{name}" failing')
 def step_told(context: Any, name: str) -> None:
     context.play.watch.record_peer_suspects({name})
 
 
-@then("the {count:d} streams are moved or resumed, and the others are not")
+@then("the {count:d} streams are rerouted or resumed, and the others are not")
 def step_moved(context: Any, count: int) -> None:
     for stream in context.on:
         names = {p.id for p in stream.parts}
@@ -134,7 +134,7 @@
     assert not any(s.is_ended for s in context.beside)
 
 
-@then('the desk knows that "{name}" is down')
+@then('the desk marks "{name}" as down')
 def step_down(context: Any, name: str) -> None:
     stage.wait_until(
         lambda: context.play.desk.look(
@@ -145,7 +145,7 @@
     )
 
 
-@then("no stream is moved")
+@then("no stream is rerouted")
 def step_not_moved(context: Any) -> None:
     assert [s.parts for s in context.streams] == context.before
     assert not any(s.is_ended for s in context.streams)
@@ -158,7 +158,7 @@
         context.play.desk.note_signals(name, signals.Signals(per_s))
 
 
-@when("the watch looks each {step_ms:d} ms for {seconds:d} s")
+@when("the watch checks its streams every {step_ms:d} ms for {seconds:d} s")
 def step_look_on(context: Any, step_ms: int, seconds: int) -> None:
     for i in range(1, 1000 * seconds // step_ms):
         context.play.watch.check_streams(context.heard_s + i * step_ms / 1000)
@@ -172,11 +172,11 @@
     assert counts
 
 
-@given('"{one}" and "{other}" ask for {rest_s:g} s of rest')
-def step_rest(context: Any, one: str, other: str, rest_s: float) -> None:
+@given('"{one}" and "{other}" ask for a backoff of {backoff_s:g} s')
+def step_rest(context: Any, one: str, other: str, backoff_s: float) -> None:
     context.limited = (one, other)
     for name in context.limited:
-        answer = signals.Signals(backoff_s=rest_s)
+        answer = signals.Signals(backoff_s=backoff_s)
         context.play.desk.note_signals(name, answer)
     # Taken once the desk answers what was asked after it.
     context.play.desk.look(lambda state: None)
