--- a/egretspur/delivery/completions.py
+++ b/egretspur/delivery/completions.py
@@ -80,7 +80,7 @@
         first: list[str] | relay.Completion,
         get_backlog: Callable[[], int],
     ) -> None:
-        self._job = job
+        self._relay = job
         self._first = first
         self._get_backlog = get_backlog
         head = orjson.dumps(
@@ -113,14 +113,14 @@
                 write(_format_end(self._first))
                 return
             write_tokens(self._first)
-            result = self._job.run(write_tokens)
+            result = self._relay.run(write_tokens)
             if isinstance(result, relay.Completion):
                 write(_format_end(result))
             else:
                 error = codec.dump_json(web.describe_refusal(result))
                 write(b"event: error\ndata: " + error + b"\n\n")
         finally:
-            self._job.close()
+            self._relay.close()
 
 
 def _format_end(completion: relay.Completion) -> bytes:
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -174,9 +174,9 @@
         self._attempts = 0
         # Events forwarded before the current attempt.
         self._count_before = 0
-        self._first_s = 0.0
-        self._last_s = 0.0
-        self._gap_s = 0.0
+        self._first_event_s = 0.0
+        self._last_event_s = 0.0
+        self._max_gap_s = 0.0
 
     def abandon(self) -> None:
         """Ends the request after its caller disconnected; from any thread."""
@@ -254,7 +254,7 @@
         total_s = now_s - self.job.arrived_s
         count = self._merge.count
         if self.is_caller_gone:
-            silent_s = now_s - (self._last_s or self.job.arrived_s)
+            silent_s = now_s - (self._last_event_s or self.job.arrived_s)
             decisions.record(
                 decisions.RequestLeft(self.job.id, count, silent_s, total_s)
             )
@@ -265,7 +265,7 @@
                 )
             )
         elif status:
-            first_s = (self._first_s or now_s) - self.job.arrived_s
+            first_s = (self._first_event_s or now_s) - self.job.arrived_s
             decisions.record(
                 decisions.RequestAnswered(
                     self.job.id,
@@ -273,7 +273,7 @@
                     self._attempts,
                     count,
                     first_s,
-                    self._gap_s,
+                    self._max_gap_s,
                     total_s,
                 )
             )
@@ -286,9 +286,9 @@
             return errors.Refusal(
                 errors.ErrorKind.CALLER_GONE, "caller disconnected"
             )
-        left_s = self.job.deadline_s - DEADLINE_MARGIN_S - time.monotonic()
+        remaining_s = self.job.deadline_s - DEADLINE_MARGIN_S - time.monotonic()
         try:
-            return fut.result(max(0.0, left_s))
+            return fut.result(max(0.0, remaining_s))
         except concurrent.futures.TimeoutError:
             return self._make_timeout("waiting for an upstream")
 
@@ -368,7 +368,7 @@
         )
 
     def _read_body(self, answer: Answer) -> bytes | AttemptFailure:
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         while True:
             data = answer.read_some()
             if isinstance(data, AttemptFailure):
@@ -376,8 +376,8 @@
             if not data:
                 answer.close()
                 self._answer = None
-                return b"".join(pieces)
-            pieces.append(data)
+                return b"".join(chunks)
+            chunks.append(data)
 
     def _read_events(self, answer: Answer) -> bytes | AttemptFailure | None:
         """Returns the next complete events; None at the end of the answer."""
@@ -415,16 +415,16 @@
 
     def _record_event(self) -> None:
         now_s = self.last_activity_s
-        if not self._first_s:
-            self._first_s = now_s
+        if not self._first_event_s:
+            self._first_event_s = now_s
         else:
-            gap_s = now_s - self._last_s
-            self._gap_s = max(self._gap_s, gap_s)
+            gap_s = now_s - self._last_event_s
+            self._max_gap_s = max(self._max_gap_s, gap_s)
             self.smoothed_gap_s = silence.smooth_gap(self.smoothed_gap_s, gap_s)
             if gap_s > (self.job.route.gap_s or paces.SUSPICIOUS_GAP_S):
                 ids = tuple(p.id for p in self.parts)
                 self._desk.tell(desk.Suspect(ids))
-        self._last_s = now_s
+        self._last_event_s = now_s
 
     def _forward_events(self, write: Write) -> AttemptFailure | None:
         """Forwards events until the answer ends; None if it is complete."""
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -97,26 +97,26 @@
             )
             return web.reply_refusal(job)
         self._record_admitted(job)
-        run = forward.Forwarder(
+        forwarder = forward.Forwarder(
             inbound.call, job, self._desk, self._sender, self._watch
         )
         with self._lock:
             self.in_flight += 1
-        req.on_gone(run.abandon)
+        req.on_gone(forwarder.abandon)
         try:
-            res = run.begin()
+            res = forwarder.begin()
         except BaseException:
-            self._end(run)
+            self._end(forwarder)
             raise
         if isinstance(res, errors.Refusal):
-            run.record_end(0, None)
-            self._end(run)
+            forwarder.record_end(0, None)
+            self._end(forwarder)
             return web.reply_refusal(res)
         if isinstance(res, forward.CompleteAnswer):
-            run.record_end(res.status, None)
-            self._end(run)
+            forwarder.record_end(res.status, None)
+            self._end(forwarder)
             return web.Response(res.status, dict(res.headers), res.body)
-        body = _StreamBody(run, self._end)
+        body = _StreamBody(forwarder, self._end)
         return web.Response(res.status, dict(res.headers), body)
 
     def make_job(
@@ -176,8 +176,8 @@
             )
         )
 
-    def _end(self, run: forward.Forwarder) -> None:
-        run.close()
+    def _end(self, forwarder: forward.Forwarder) -> None:
+        forwarder.close()
         with self._lock:
             self.in_flight -= 1
 
@@ -218,9 +218,11 @@
     """The body of a streamed answer."""
 
     def __init__(
-        self, run: forward.Forwarder, end: Callable[[forward.Forwarder], None]
+        self,
+        forwarder: forward.Forwarder,
+        end: Callable[[forward.Forwarder], None],
     ) -> None:
-        self._run = run
+        self._forwarder = forwarder
         self._end = end
 
     def push(self, write: Callable[[bytes], Any]) -> None:
@@ -231,12 +233,12 @@
         """
         refusal: errors.Refusal | None = None
         try:
-            refusal = self._run.run(write)
+            refusal = self._forwarder.run(write)
         except web.CallerGone:
-            self._run.is_caller_gone = True
+            self._forwarder.is_caller_gone = True
             raise
         finally:
-            self._run.record_end(200, refusal)
-            self._end(self._run)
+            self._forwarder.record_end(200, refusal)
+            self._end(self._forwarder)
         if refusal is not None:
             raise AnswerInterruptedError(refusal.reason)
--- a/egretspur/delivery/pump.py
+++ b/egretspur/delivery/pump.py
@@ -64,9 +64,9 @@
         self._entries: set[_Entry] = set()
         self._is_idle = True
         self._stop = False
-        self._waker, self._wakee = socket.socketpair()
-        self._wakee.setblocking(False)
-        self._selector.register(self._wakee, selectors.EVENT_READ, None)
+        self._wake_send, self._wake_recv = socket.socketpair()
+        self._wake_recv.setblocking(False)
+        self._selector.register(self._wake_recv, selectors.EVENT_READ, None)
         self._thread = threading.Thread(
             target=self._run, name="pump", daemon=True
         )
@@ -78,7 +78,7 @@
     def close(self) -> None:
         """Stops the thread; open streams end as broken."""
         self._stop = True
-        self._waker.send(b"x")
+        self._wake_send.send(b"x")
         self._thread.join(timeout=1.0)
 
     def run(
@@ -102,7 +102,7 @@
         with self._lock:
             self._new_entries.append(entry)
             if self._is_idle:
-                self._waker.send(b"x")
+                self._wake_send.send(b"x")
         entry.done.wait()
         return entry.broken
 
@@ -114,7 +114,7 @@
             ready = self._selector.select(wait)
             for key, _ in ready:
                 if key.data is None:
-                    self._wakee.recv(4096)
+                    self._wake_recv.recv(4096)
                 else:
                     self._read(key.data)
             now = time.monotonic()
@@ -184,12 +184,12 @@
 
     def _end_silent(self, now_s: float) -> None:
         for entry in list(self._entries):
-            silence = now_s - entry.last_read_s
-            if silence > entry.max_silence_s:
+            silent_s = now_s - entry.last_read_s
+            if silent_s > entry.max_silence_s:
                 self._end(
                     entry,
                     engine.Broken(
-                        f"silent for {silence:.2f} s", maybe_started=True
+                        f"silent for {silent_s:.2f} s", maybe_started=True
                     ),
                 )
 
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -34,7 +34,7 @@
 PEER_SUSPICION_S: Final = 0.6
 
 # Silence after which the first engine of a stream's path is asked for its
-# report, if the stream's route sets no longest gap. Events arrive every few
+# report, if the stream's route sets no maximum gap. Events arrive every few
 # tens of milliseconds.
 MAX_SILENCE_S: Final = 0.3
 
@@ -208,9 +208,9 @@
         }
         if not addresses or len(addresses) > MAX_PROBES:
             return
-        witness = _find_witness(begun, suspects)
-        if witness is not None:
-            addresses[witness.id] = witness.address
+        active = _find_active_stage(begun, suspects)
+        if active is not None:
+            addresses[active.id] = active.address
         addresses = {
             i: a for i, a in addresses.items() if self._desk.may_ask(i)
         }
@@ -350,7 +350,7 @@
         return True
 
 
-def _find_witness(
+def _find_active_stage(
     streams: Sequence[forward.Forwarder], suspects: set[str]
 ) -> paths.Part | None:
     """Returns a working stage, to be probed together with the suspects.
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -52,7 +52,7 @@
 
 
 def feed(context: Any, pieces: list[bytes]) -> None:
-    """Gives bytes to the merge; keeps what is passed on."""
+    """Feeds bytes to the merge; keeps those to forward."""
     if not hasattr(context, "merge"):
         context.merge = events.Merge()
         context.passed = b""
@@ -77,7 +77,7 @@
     assert (context.merge.fault.value if flaw else None) == (flaw or None)
     assert context.merge.has_partial_event() == bool(rest)
     if flaw:
-        # Nothing that comes after it is passed on.
+        # Nothing after a fault is forwarded.
         assert context.merge.feed(make_event(9)) == context.merge.fault
 
 
@@ -188,12 +188,12 @@
 class FakeEngines:
     """Reports by script; see `watch.Engines`."""
 
-    # Address of a stage that holds work up; "dark" if the engine is.
+    # Address of a stalled stage; "dark" if the engine does not respond.
     stalled: str = ""
-    # Addresses that answer no question.
+    # Addresses that answer no probe.
     dead: set[str] = attrs.Factory(set)
     moves: list[tuple[float, Sequence[paths.Part]]] = attrs.Factory(list)
-    # Addresses that were asked, as often as they were.
+    # Address of each report request or probe.
     asked: list[str] = attrs.Factory(list)
 
     def get_report(self, address: str) -> upstreams.EngineReport | str:
@@ -215,7 +215,7 @@
     def repath(
         self, address: str, request_id: str, parts: Sequence[paths.Part]
     ) -> str:
-        """Takes an order to go on over another path."""
+        """Records an order to reroute a request."""
         self.moves.append((time.monotonic(), parts))
         return ""
 
@@ -401,7 +401,7 @@
 
 
 class EagerDesk(desk.Desk):
-    """Starts each request at once, and so many times again as it fails."""
+    """Starts each request at once; allows a fixed number of attempts."""
 
     def __init__(self, attempts: int) -> None:
         self._left = attempts
@@ -417,7 +417,7 @@
         return self._decide()
 
     def tell(self, message: Any) -> None:
-        """Takes what needs no answer."""
+        """Ignores messages without a reply."""
 
     def _decide(self) -> desk.DecisionFuture:
         fut: desk.DecisionFuture = desk.DecisionFuture()
@@ -432,7 +432,7 @@
 
 
 def draw_script(rng: random.Random, after: int, count: int) -> Script:
-    """Draws an attempt that is asked to go on after an event."""
+    """Draws an attempt that is asked to resume after an event."""
     numbers = list(range(after + 1 - rng.choice((0, 0, 1, 2)), count + 1))
     numbers = [n for n in numbers if n > 0]
     whole = b"".join(make_event(n) for n in numbers)
@@ -449,12 +449,12 @@
         Script([], 200, rng.choice(("", "text/event-stream"))),
         Script([whole], rng.choice((204, 302, 401, 404, 429, 500, 503))),
     ]
-    # The first attempt's answer is passed on as it is.
+    # A first attempt may not draw a plain answer, which is forwarded as it is.
     return rng.choice(drawn if after else drawn[:5])
 
 
 class DrawnUpstreams(FakeUpstreams):
-    """Attempts drawn as they are asked for."""
+    """Attempts drawn at random."""
 
     def __init__(self, rng: random.Random, count: int) -> None:
         super().__init__()
--- a/tests/steps/relay_steps.py
+++ b/tests/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a relay with stubs for everything around it."""
+"""Steps on a relay whose dependencies are stubs, and on the pump."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 FIRST_S = 5.0
 BETWEEN_S = 2.0
 
-# An attempt that is over long before this was not ended for its silence.
+# An attempt that ends long before this was not ended for its silence.
 SILENCE_S = 30.0
 
 
@@ -45,7 +45,7 @@
         return self.arrive(requests.Arrival(failure.id, "w", "m"))
 
     def run(self, *args: Any) -> Any:
-        """As engine: a stream. As pump: remembers the bound and stops."""
+        """As engine, returns a stream; as pump, records the limit and stops."""
         if len(args) == 1:
             self.request = args[0].request
             return self
@@ -53,7 +53,7 @@
         raise StopIteration
 
     def read(self) -> Any:
-        """Gives the first tokens, or breaks without any."""
+        """Returns the first tokens, or breaks without any."""
         if self.sent < self.tokens:
             self.sent += 1
             return [engine.TokenEvent(self.request, 1, 0, "t", "u:0-4")]
@@ -86,7 +86,7 @@
     context.relay = relay.Relay(prompt, tools, lambda: False)
     assert context.relay.begin() == ["t"]
     if not tokens:
-        # A second attempt, which has given none yet.
+        # A second attempt, which has delivered no token.
         context.relay._open(make_grant("q"))
 
 
@@ -105,7 +105,7 @@
 
 @attrs.define
 class BufferedStream:
-    """A stream that has come whole with its head, or comes later."""
+    """A stream that is completely buffered or arrives later."""
 
     sock: socket.socket
     is_buffered: bool
@@ -117,7 +117,7 @@
         """Nothing to do."""
 
     def has_buffered(self) -> bool:
-        """Answers as told."""
+        """Returns the value given to the constructor."""
         return self.is_buffered
 
     def read_ready(self) -> list[engine.Event]:
@@ -127,10 +127,10 @@
 
 
 class Ending:
-    """Wants no more after the first events; see `pump.Consumer`."""
+    """Stops after the first events; see `pump.Consumer`."""
 
     def handle_events(self, events: list[engine.Event]) -> bool:
-        """Takes the end."""
+        """Ends the stream."""
         return False
 
 
@@ -193,7 +193,7 @@
 
 
 def read_request(conn: socket.socket) -> None:
-    """Reads a request to its end; its body may come by itself."""
+    """Reads a request; its body may arrive separately."""
     data = b""
     while b"\r\n\r\n" not in data:
         data += conn.recv(65536)
@@ -213,7 +213,7 @@
     may_end: threading.Event = attrs.Factory(threading.Event)
 
     def serve(self) -> None:
-        """Answers two requests that come over one connection."""
+        """Answers two requests on one connection."""
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         end = b"0\r\n\r\n"
         conn, _ = self.server.accept()
@@ -234,7 +234,7 @@
         self.events: list[engine.Event] = []
 
     def handle_events(self, events: list[engine.Event]) -> bool:
-        """Wants more until the end has come."""
+        """Reads until the end event."""
         self.events += events
         return isinstance(events[-1], engine.TokenEvent)
 
--- a/tests/steps/silence_steps.py
+++ b/tests/steps/silence_steps.py
@@ -82,7 +82,7 @@
                 parts[1], id="a100-twin", address="a100-twin:80"
             )
             parts = (parts[0], twin, *parts[2:])
-        # Those beside it have just had an event.
+        # The streams beside the stage have just had an event.
         late_s = 0.065 if i >= count else 0.0
         context.streams.append(Stream(job, parts, context.heard_s + late_s))
         context.play.watch.add(context.streams[-1])
@@ -178,7 +178,7 @@
     for name in context.limited:
         answer = signals.Signals(backoff_s=backoff_s)
         context.play.desk.note_signals(name, answer)
-    # Taken once the desk answers what was asked after it.
+    # The desk has handled the messages once it answers a later call.
     context.play.desk.look(lambda state: None)
 
 
