--- a/egretspur/delivery/attempts.py
+++ b/egretspur/delivery/attempts.py
@@ -62,7 +62,7 @@
 
 
 @attrs.define
-class Merge:
+class TokenMerge:
     """The part of a request's answer received so far."""
 
     request: str
@@ -75,14 +75,14 @@
     finished: bool = False
 
 
-def begin_attempt(merge: Merge, expected_layers: str) -> int:
+def begin_attempt(merge: TokenMerge, expected_layers: str) -> int:
     """Begins the next attempt; returns its number."""
     merge.attempt += 1
     merge.expected_layers = expected_layers
     return merge.attempt
 
 
-def apply_event(merge: Merge, event: engine.Event) -> Decision:
+def apply_event(merge: TokenMerge, event: engine.Event) -> Decision:
     """Checks an event and appends its token to the answer."""
     if event.request != merge.request:
         if isinstance(event, engine.ErrorEvent) and not event.request:
@@ -97,12 +97,12 @@
 
 
 @functools.singledispatch
-def _apply_current(event: object, merge: Merge) -> Decision:
+def _apply_current(event: object, merge: TokenMerge) -> Decision:
     raise TypeError(f"unknown event {event!r}")
 
 
 @_apply_current.register
-def _(event: engine.TokenEvent, merge: Merge) -> Decision:
+def _(event: engine.TokenEvent, merge: TokenMerge) -> Decision:
     position = len(merge.tokens)
     if event.position < position:
         return Drop(f"position {event.position} already delivered")
@@ -120,7 +120,7 @@
 
 
 @_apply_current.register
-def _(event: engine.EndEvent, merge: Merge) -> Decision:
+def _(event: engine.EndEvent, merge: TokenMerge) -> Decision:
     position = len(merge.tokens)
     if event.count != position:
         return Fault(
@@ -132,5 +132,5 @@
 
 
 @_apply_current.register
-def _(event: engine.ErrorEvent, merge: Merge) -> Decision:
+def _(event: engine.ErrorEvent, merge: TokenMerge) -> Decision:
     return Fault(FaultCause.ENGINE, event.kind, event.upstream)
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -114,7 +114,7 @@
         self._deps = deps
         self._traffic = deps.traffic
         self._is_caller_gone = is_caller_gone
-        self._merge = attempts.Merge(prompt.id)
+        self._merge = attempts.TokenMerge(prompt.id)
         # Path of the current attempt, to cancel it if the caller disconnects.
         self._grant: requests.Grant | None = None
         self._stream: engine.EventStream | None = None
--- a/tests/routing/world.py
+++ b/tests/routing/world.py
@@ -67,7 +67,7 @@
 
     id: str
     router: int
-    merge: attempts.Merge
+    merge: attempts.TokenMerge
     current: Attempt | None = None
     # All attempts ever started, for late events.
     attempts: list[Attempt] = attrs.Factory(list)
@@ -160,7 +160,7 @@
     def arrive(self, number: int, workspace: str) -> None:
         """Lets a caller's request arrive."""
         name = f"q{len(self.requests)}"
-        self.requests[name] = Request(name, number, attempts.Merge(name))
+        self.requests[name] = Request(name, number, attempts.TokenMerge(name))
         arrival = messages.Arrival(name, workspace, "m")
         self.run(number, self.routers[number].arrive(arrival, self.now))
 
