--- a/egretspur/delivery/events.py
+++ b/egretspur/delivery/events.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define
-class Merge:
+class EventMerge:
     """The part of an answer forwarded so far."""
 
     # Id of the last event that was forwarded; None before the first.
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -149,7 +149,7 @@
         self._watch = watch
         self._abort = AbortHandle()
         self._fut: desk.DecisionFuture | None = None
-        self._merge = events.Merge()
+        self._merge = events.EventMerge()
         self._answer: Answer | None = None
         # An upstream's error response, returned to the caller if every later
         # attempt fails as well.
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -54,7 +54,7 @@
 def feed(context: Any, pieces: list[bytes]) -> None:
     """Feeds bytes to the merge; keeps those to forward."""
     if not hasattr(context, "merge"):
-        context.merge = events.Merge()
+        context.merge = events.EventMerge()
         context.passed = b""
     for piece in pieces:
         res = context.merge.feed(piece)
@@ -87,7 +87,7 @@
     for seed in range(300):
         rng = random.Random(seed)
         count = rng.randint(1, 12)
-        merge, passed = events.Merge(), b""
+        merge, passed = events.EventMerge(), b""
         while merge.count < count:
             merge.begin()
             first = (merge.last_id or 0) + 1
