--- a/egretspur/delivery/answers.py
+++ b/egretspur/delivery/answers.py
@@ -23,7 +23,7 @@
     # Event by event, as they arrive.
     EVENTS = "events"
     # With the upstream's status, once the body is complete.
-    WHOLE = "whole"
+    BUFFERED = "whole"
 
 
 @attrs.frozen
@@ -49,7 +49,7 @@
     if is_streaming and status == 200 and is_events:
         return ForwardMode.EVENTS
     if not has_begun:
-        return ForwardMode.WHOLE
+        return ForwardMode.BUFFERED
     if status != 200:
         return Unusable(f"status {status} instead of the remaining events")
     return Unusable(f"{media_type} instead of the remaining events")
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -339,7 +339,10 @@
         self, answer: Answer
     ) -> CompleteAnswer | Answer | AttemptFailure:
         """Reads a plain answer completely, or a stream's first event."""
-        if self._classify(answer, has_begun=False) is answers.ForwardMode.WHOLE:
+        if (
+            self._classify(answer, has_begun=False)
+            is answers.ForwardMode.BUFFERED
+        ):
             body = self._read_body(answer)
             if isinstance(body, AttemptFailure):
                 return body
