--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -69,8 +69,8 @@
     context.merge.begin()
 
 
-@then('"{ids}" is passed on and the rest is "{rest}"')
-@then('"{ids}" is passed on and the rest is ""')
+@then('"{ids}" is forwarded and the rest is "{rest}"')
+@then('"{ids}" is forwarded and the rest is ""')
 def step_passed(context: Any, ids: str, rest: str = "") -> None:
     ids, _, flaw = ids.partition(", ")
     assert read_ids(context.passed) == [int(i) for i in ids.split()]
@@ -103,7 +103,7 @@
         context.results.append((count, passed))
 
 
-@then("each event is passed on once, whole and in order")
+@then("each event is forwarded once, complete and in order")
 def step_once(context: Any) -> None:
     for count, passed in context.results:
         whole = b"".join(make_event(i) for i in range(1, count + 1))
--- a/tests/steps/silence_steps.py
+++ b/tests/steps/silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps on finding the stage that holds up streams."""
+"""Steps on finding the stage that stalls streams."""
 
 from __future__ import annotations
 
