--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -384,7 +384,7 @@
         self, heard: Sequence[datagrams.PeerUpdate], hosts: int
     ) -> None:
         self._followed.poke(self._known, heard)
-        self._watch.hear({i for n in heard for i in n.suspects})
+        self._watch.record_peer_suspects({i for n in heard for i in n.suspects})
         told = tuple(news.read(n) for n in heard)
         seeds = len(self._cfg.seeds)
         self._desk.tell(desk.PeerUpdates(told, max(hosts, seeds)))
--- a/egretspur/delivery/answers.py
+++ b/egretspur/delivery/answers.py
@@ -1,9 +1,10 @@
-"""What an upstream's answer to an attempt counts as: pure.
+"""Classifies an upstream's answer to an attempt; free of I/O.
 
-The first attempt and each one that resumes an answer are judged alike. Once the
-caller has a part of its answer, only events can go on with it: whatever else an
-upstream says is an attempt that failed, and none of it reaches the caller. Read
-next: `egretspur.delivery.forward` and `egretspur.delivery.events`.
+The first attempt and each one that resumes an answer follow the same rules.
+Once the caller has received part of its answer, only an event stream can
+continue it: any other answer counts as a failed attempt, and none of it
+reaches the caller. Read next: `egretspur.delivery.forward` and
+`egretspur.delivery.events`.
 """
 
 from __future__ import annotations
@@ -16,52 +17,56 @@
 EVENTS_TYPE: Final = "text/event-stream"
 
 
-class Form(enum.Enum):
-    """How an answer is passed on."""
+class ForwardMode(enum.Enum):
+    """How an answer is forwarded to the caller."""
 
-    # Event by event, as they come.
+    # Event by event, as they arrive.
     EVENTS = "events"
-    # With its status, once all of it is there.
-    WHOLE = "whole"
+    # With the upstream's status, once the body is complete.
+    BUFFERED = "whole"
 
 
 @attrs.frozen
-class Unfit:
-    """Why an answer can't go on with the one that the caller has a part of."""
+class Unusable:
+    """Why an answer can't continue the one already begun."""
 
     reason: str
 
 
-def judge(
+def classify(
     status: int, content_type: str, is_streaming: bool, has_begun: bool
-) -> Form | Unfit:
-    """Returns how an answer is passed on, given its head.
+) -> ForwardMode | Unusable:
+    """Returns how to forward an answer, given its status and headers.
 
     Args:
-        status: Of the answer.
-        content_type: As the upstream declares it; empty if it doesn't.
-        is_streaming: The route's answers are events.
-        has_begun: The caller has a part of its answer.
+        status: HTTP status.
+        content_type: Content-Type header; empty if missing.
+        is_streaming: Whether the route's answers are event streams.
+        has_begun: Whether the caller has received part of its answer.
     """
-    kind = content_type.partition(";")[0].strip().lower()
-    is_events = kind in ("", EVENTS_TYPE)
+    media_type = content_type.partition(";")[0].strip().lower()
+    is_events = media_type in ("", EVENTS_TYPE)
     if is_streaming and status == 200 and is_events:
-        return Form.EVENTS
+        return ForwardMode.EVENTS
     if not has_begun:
-        return Form.WHOLE
+        return ForwardMode.BUFFERED
     if status != 200:
-        return Unfit(f"status {status} where events were to go on")
-    return Unfit(f"{kind} where events were to go on")
+        return Unusable(f"status {status} instead of the remaining events")
+    return Unusable(f"{media_type} instead of the remaining events")
 
 
-def judge_end(status: int, has_begun: bool, has_brought: bool) -> Unfit | None:
-    """Returns why events that have ended are not the whole answer, if so.
+def check_end(
+    status: int, has_begun: bool, has_new_events: bool
+) -> Unusable | None:
+    """Returns why a finished event stream is incomplete; None if it is not.
 
     Args:
-        status: Of the answer.
-        has_begun: The caller had a part of its answer before.
-        has_brought: It has brought an event that the caller did not have.
+        status: HTTP status.
+        has_begun: Whether the caller had received events before this attempt.
+        has_new_events: Whether this attempt added an event to the answer.
     """
-    if has_begun and not has_brought:
-        return Unfit(f"status {status}, no events where some were missing")
+    if has_begun and not has_new_events:
+        return Unusable(
+            f"status {status}, no events after those delivered before"
+        )
     return None
--- a/egretspur/delivery/events.py
+++ b/egretspur/delivery/events.py
@@ -1,8 +1,8 @@
-"""Server-sent events of one answer, joined over several attempts: pure.
+"""Joins the server-sent events of several attempts into one; free of I/O.
 
-Bytes are passed on as they came, but only whole events, in order and once
-each: an upstream may break off in the middle of an event, and a resumed run
-may begin with events that were delivered before.
+Bytes are forwarded unchanged, but only complete events, in order and once
+each: an upstream may disconnect in the middle of an event, and a resumed
+attempt may begin with events that were delivered before.
 """
 
 from __future__ import annotations
@@ -12,76 +12,80 @@
 
 import attrs
 
-# Longest event; more without an end is no stream of events.
-MAX_EVENT: Final = 1 << 20
+# Maximum bytes without the end of an event; beyond it the stream is malformed.
+MAX_EVENT_BYTES: Final = 1 << 20
 
 
-class Flaw(enum.Enum):
-    """Why the bytes of an attempt can't be passed on."""
+class StreamFault(enum.Enum):
+    """Why the bytes of an attempt can't be forwarded."""
 
     GAP = "gap"
     MALFORMED = "malformed"
 
 
 @attrs.define
-class Merge:
-    """Where the answer stands."""
+class EventMerge:
+    """The part of an answer forwarded so far."""
 
-    # Id of the last event that was passed on; None before the first.
+    # Id of the last event that was forwarded; None before the first.
     last_id: int | None = None
-    # Events passed on.
+    # Number of events forwarded.
     count: int = 0
-    # Of the attempt under way; what came before it was passed on.
-    flaw: Flaw | None = None
-    _rest: bytes = b""
+    # Of the current attempt; the events before it were forwarded.
+    fault: StreamFault | None = None
+    # Bytes of the current attempt after its last complete event.
+    _buffer: bytes = b""
 
     def begin(self) -> None:
-        """Begins another attempt; what was not whole is dropped."""
-        self._rest = b""
-        self.flaw = None
+        """Begins another attempt; drops an incomplete event of the last."""
+        self._buffer = b""
+        self.fault = None
 
-    def has_rest(self) -> bool:
-        """Tells whether bytes of an unfinished event are left."""
-        return bool(self._rest.strip())
+    def has_partial_event(self) -> bool:
+        """Returns whether an incomplete event is buffered."""
+        return bool(self._buffer.strip())
 
-    def feed(self, data: bytes) -> bytes | Flaw:
-        """Takes bytes of the current attempt; returns what to pass on.
+    def feed(self, data: bytes) -> bytes | StreamFault:
+        """Takes bytes of the current attempt; returns those to forward.
 
-        Events before a flaw are passed on first: they count as passed on.
+        If valid events precede an error, returns these; the next call returns
+        the error.
         """
-        self._rest += data
-        passed: list[bytes] = []
-        while self.flaw is None:
-            end = _find_end(self._rest)
+        self._buffer += data
+        accepted: list[bytes] = []
+        while self.fault is None:
+            end = _find_end(self._buffer)
             if end < 0:
                 break
-            event, self._rest = self._rest[:end], self._rest[end:]
-            self.flaw = self._take(event, passed)
-        if len(self._rest) > MAX_EVENT:
-            self.flaw = Flaw.MALFORMED
-        if self.flaw is not None and not passed:
-            return self.flaw
-        return b"".join(passed)
-
-    def _take(self, event: bytes, passed: list[bytes]) -> Flaw | None:
+            event, self._buffer = self._buffer[:end], self._buffer[end:]
+            self.fault = self._accept_event(event, accepted)
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            self.fault = StreamFault.MALFORMED
+        if self.fault is not None and not accepted:
+            return self.fault
+        return b"".join(accepted)
+
+    def _accept_event(
+        self, event: bytes, accepted: list[bytes]
+    ) -> StreamFault | None:
         number = _read_id(event)
         if number is None:
-            # Comments and the like belong to the attempt that is under way.
-            passed.append(event)
+            # Events without an id, such as comments, are forwarded unchecked.
+            accepted.append(event)
             return None
         if self.last_id is not None:
             if number <= self.last_id:
                 return None
             if number != self.last_id + 1:
-                return Flaw.GAP
+                return StreamFault.GAP
         self.last_id = number
         self.count += 1
-        passed.append(event)
+        accepted.append(event)
         return None
 
 
 def _find_end(data: bytes) -> int:
-    """Returns the end of the first event, or -1 if it isn't whole."""
+    """Returns the end of the first event, or -1 if it is incomplete."""
     plain = data.find(b"\n\n")
     crlf = data.find(b"\r\n\r\n")
     if crlf >= 0 and (plain < 0 or crlf < plain):
--- a/egretspur/delivery/forward.py
+++ b/egretspur/delivery/forward.py
@@ -1,9 +1,9 @@
-"""Runs the attempts of one request and passes the answer on.
+"""Runs the attempts of one request and forwards the answer to the caller.
 
-One `Forward` a request, in the thread of the caller's connection. It decides
-nothing: `egretspur.routing.broker` says where an attempt goes and what follows
-a failure, `egretspur.delivery.answers` what an answer counts as, and
-`egretspur.delivery.events` which bytes.
+There is one `Forwarder` for each request, in the thread of the caller's
+connection. `egretspur.routing.broker` decides where an attempt is sent and
+what follows a failure, `egretspur.delivery.answers` whether an answer is
+usable, and `egretspur.delivery.events` which of its bytes are forwarded.
 """
 
 from __future__ import annotations
@@ -24,29 +24,29 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Final answers go out so long before the deadline; what is decided at the
-# deadline itself reaches the caller after it.
+# A timed-out request is answered this long before its deadline, since an
+# answer sent at the deadline would reach the caller after it.
 DEADLINE_MARGIN_S: Final = 0.05
 
 
 @attrs.frozen
 class Call:
-    """A caller's request, whole, in the product's terms."""
+    """A caller's complete request, independent of the platform's format."""
 
     id: str
     method: str
     # Path and query as the caller sent them.
     target: str
-    # Fields to pass on, without those of one connection and the key.
+    # Headers to forward, without hop-by-hop headers and the API key.
     headers: Mapping[str, str]
     body: bytes
-    # Event after which the caller wants its answer to go on, as sent.
+    # Id of the event after which the caller resumes, as sent.
     resume_after: str
 
 
 @attrs.frozen
-class Lost:
-    """An attempt that brought no answer, or whose answer broke off."""
+class AttemptFailure:
+    """An attempt that returned no answer or an incomplete one."""
 
     why: jobs.FailureKind
     reason: str
@@ -54,22 +54,22 @@
 
 
 class Answer(Protocol):
-    """An upstream's answer whose body is still to be read."""
+    """An upstream's answer whose body has not been read."""
 
     status: int
     headers: Mapping[str, str]
 
-    def read_some(self) -> bytes | Lost:
-        """Returns the next bytes, waiting for them; empty at the end."""
+    def read_some(self) -> bytes | AttemptFailure:
+        """Blocks until bytes arrive and returns them; empty at the end."""
 
     def abort(self) -> None:
-        """Ends the connection and wakes whoever reads; from any thread."""
+        """Ends the connection and wakes its reader; from any thread."""
 
     def close(self) -> None:
-        """Closes the connection; from the thread that reads."""
+        """Closes the connection; from the reading thread only."""
 
 
-class Upstreams(Protocol):
+class AttemptSender(Protocol):
     """Sends requests to upstreams."""
 
     def open(
@@ -78,46 +78,46 @@
         job: jobs.Job,
         start: jobs.Start,
         resume_after: str,
-        abort: Abort,
-    ) -> Answer | Lost:
-        """Sends a request and returns the beginning of its answer."""
+        abort: AbortHandle,
+    ) -> Answer | AttemptFailure:
+        """Sends a request and returns its answer, body unread."""
 
 
-class Abort:
-    """Ends whatever a request waits for, from another thread."""
+class AbortHandle:
+    """Aborts a request's upstream connection from another thread."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._close: Callable[[], None] | None = None
-        self.is_set = False
+        self.is_aborted = False
 
-    def set(self) -> None:
-        """Aborts now, and at once whatever is armed later."""
+    def abort_all(self) -> None:
+        """Aborts the current connection and every later one."""
         with self._lock:
-            self.is_set = True
+            self.is_aborted = True
             close = self._close
         if close is not None:
             close()
 
-    def fire(self) -> None:
-        """Ends what is under way; a later attempt is not affected."""
+    def abort_current(self) -> None:
+        """Aborts the current connection only."""
         with self._lock:
             close = self._close
         if close is not None:
             close()
 
-    def arm(self, close: Callable[[], None] | None) -> None:
-        """Sets what is to be closed on an abort."""
+    def set_closer(self, close: Callable[[], None] | None) -> None:
+        """Sets how to close the current connection; closes it if aborted."""
         with self._lock:
             self._close = close
-            fire = self.is_set and close is not None
-        if fire and close is not None:
+            should_close = self.is_aborted and close is not None
+        if should_close and close is not None:
             close()
 
 
 @attrs.frozen
-class Whole:
-    """An answer that was read to its end, not a stream."""
+class CompleteAnswer:
+    """An answer with its complete body."""
 
     status: int
     headers: Mapping[str, str]
@@ -127,11 +127,11 @@
 Write = Callable[[bytes], None]
 
 
-class Forward:
-    """Attempts and answer of one request.
+class Forwarder:
+    """Forwards one request and its answer.
 
-    `begin` returns once there is something to answer with; for a stream,
-    `run` passes on the rest; `close` is called in any case.
+    `begin` returns once the answer's status is known; for a stream, `run`
+    forwards the rest; `close` must always be called.
     """
 
     def __init__(
@@ -139,83 +139,92 @@
         call: Call,
         job: jobs.Job,
         to: desk.Desk,
-        upstreams: Upstreams,
+        sender: AttemptSender,
         watch: Watch | None = None,
     ) -> None:
         self.call = call
         self.job = job
         self._desk = to
-        self._upstreams = upstreams
+        self._sender = sender
         self._watch = watch
-        self._abort = Abort()
+        self._abort = AbortHandle()
         self._fut: desk.DecisionFuture | None = None
-        self._merge = events.Merge()
+        self._merge = events.EventMerge()
         self._answer: Answer | None = None
-        # An upstream's own word that it failed, passed on if no other attempt
-        # brings anything better.
-        self._failed: Whole | None = None
-        # Events read before the caller's answer began.
-        self._first = b""
-        self.is_gone = False
-        # An upstream answered to the end, and not with a failure.
+        # An upstream's error response, returned to the caller if every later
+        # attempt fails as well.
+        self._error_answer: CompleteAnswer | None = None
+        # Events read before the answer to the caller was begun.
+        self._first_events = b""
+        # The caller disconnected.
+        self.is_caller_gone = False
+        # An upstream's answer completed and was not an error.
         self._is_answered = False
-        # For the watch over silent streams.
-        self.heard_s = 0.0
+        # Read by the stream watch: when the attempt was sent or last received
+        # bytes, its path, and the stages of the path that are known to stall.
+        self.last_activity_s = 0.0
         self.parts: tuple[paths.Part, ...] = ()
         self.stalled: set[str] = set()
-        # An event came in the attempt under way.
+        # The current attempt has delivered an event.
         self.has_begun = False
         # Smoothed seconds between two events.
-        self.usual_gap_s = silence.USUAL_GAP_S
-        # For the log: attempts, when the first event or the answer came, when
-        # the last event came, and the longest pause between two.
+        self.smoothed_gap_s = silence.INITIAL_GAP_S
+        # For the log: number of attempts, times of the first and the last
+        # event, and the longest gap between two.
         self._attempts = 0
-        # Events that the caller had before the attempt under way.
+        # Events forwarded before the current attempt.
         self._count_before = 0
-        self._first_s = 0.0
-        self._last_s = 0.0
-        self._gap_s = 0.0
-
-    def leave(self) -> None:
-        """Takes that the caller is gone; called from any thread."""
-        self.is_gone = True
-        self._abort.set()
+        self._first_event_s = 0.0
+        self._last_event_s = 0.0
+        self._max_gap_s = 0.0
+
+    def abandon(self) -> None:
+        """Ends the request after its caller disconnected; from any thread."""
+        self.is_caller_gone = True
+        self._abort.abort_all()
         fut = self._fut
         if fut is not None:
-            _resolve(fut, errors.Refusal(errors.ErrorKind.CALLER_GONE, "gone"))
+            _resolve(
+                fut,
+                errors.Refusal(
+                    errors.ErrorKind.CALLER_GONE, "caller disconnected"
+                ),
+            )
 
     def interrupt(self) -> None:
-        """Ends the attempt under way, so that another one goes on."""
-        self._abort.fire()
+        """Ends the current attempt, so that another one resumes the answer."""
+        self._abort.abort_current()
 
-    def begin(self) -> Whole | Answer | errors.Refusal:
-        """Returns the whole answer, the head of a stream, or a refusal."""
+    def begin(self) -> CompleteAnswer | Answer | errors.Refusal:
+        """Returns a complete answer, the start of a stream, or a refusal."""
         self._fut = self._desk.arrive(self.job)
         while True:
             decision = self._wait()
             if isinstance(decision, errors.Refusal):
-                return self._failed or decision
+                return self._error_answer or decision
             opened = self._open(decision, self.call.resume_after)
-            res: Whole | Answer | Lost = opened
-            if not isinstance(opened, Lost):
+            res: CompleteAnswer | Answer | AttemptFailure = opened
+            if not isinstance(opened, AttemptFailure):
                 res = self._read_first(opened)
-            if not isinstance(res, Lost):
+            if not isinstance(res, AttemptFailure):
                 return res
             self._end_attempt(res)
 
     def run(self, write: Write) -> errors.Refusal | None:
-        """Passes a stream on; returns why it ended early, if it did."""
-        write(self._first)
-        lost: Lost | None = None
+        """Forwards a stream; returns why it ended early, if it did."""
+        write(self._first_events)
+        failure: AttemptFailure | None = None
         while True:
-            if lost is None:
-                lost = self._pump(write)
-            if lost is None:
+            if failure is None:
+                failure = self._forward_events(write)
+            if failure is None:
                 self._is_answered = True
                 return None
-            if self.is_gone:
-                return errors.Refusal(errors.ErrorKind.CALLER_GONE, "gone")
-            self._end_attempt(lost)
+            if self.is_caller_gone:
+                return errors.Refusal(
+                    errors.ErrorKind.CALLER_GONE, "caller disconnected"
+                )
+            self._end_attempt(failure)
             decision = self._wait()
             if isinstance(decision, errors.Refusal):
                 return decision
@@ -223,10 +232,10 @@
             if self._merge.last_id is not None:
                 after = str(self._merge.last_id)
             res = self._resume(decision, after)
-            lost = res if isinstance(res, Lost) else None
+            failure = res if isinstance(res, AttemptFailure) else None
 
     def close(self) -> None:
-        """Ends the request; closes what is under way."""
+        """Ends the request and closes an open connection."""
         if self._watch is not None:
             self._watch.remove(self)
         if self._answer is not None:
@@ -238,14 +247,14 @@
         """Logs how the request ended for its caller.
 
         Args:
-            status: Status of the answer that was passed on; 0 if none was.
+            status: Status of the answer that was forwarded; 0 if none was.
             refusal: Why the answer ended early, if it did.
         """
         now_s = time.monotonic()
         total_s = now_s - self.job.arrived_s
         count = self._merge.count
-        if self.is_gone:
-            silent_s = now_s - (self._last_s or self.job.arrived_s)
+        if self.is_caller_gone:
+            silent_s = now_s - (self._last_event_s or self.job.arrived_s)
             decisions.record(
                 decisions.RequestLeft(self.job.id, count, silent_s, total_s)
             )
@@ -256,7 +265,7 @@
                 )
             )
         elif status:
-            first_s = (self._first_s or now_s) - self.job.arrived_s
+            first_s = (self._first_event_s or now_s) - self.job.arrived_s
             decisions.record(
                 decisions.RequestAnswered(
                     self.job.id,
@@ -264,160 +273,175 @@
                     self._attempts,
                     count,
                     first_s,
-                    self._gap_s,
+                    self._max_gap_s,
                     total_s,
                 )
             )
 
     def _wait(self) -> desk.Decision:
-        """Waits for the broker, the caller's leaving or the deadline."""
+        """Waits for a decision, the caller's disconnect or the deadline."""
         fut = self._fut
         assert fut is not None
-        if self.is_gone:
-            return errors.Refusal(errors.ErrorKind.CALLER_GONE, "gone")
-        left_s = self.job.deadline_s - DEADLINE_MARGIN_S - time.monotonic()
+        if self.is_caller_gone:
+            return errors.Refusal(
+                errors.ErrorKind.CALLER_GONE, "caller disconnected"
+            )
+        remaining_s = self.job.deadline_s - DEADLINE_MARGIN_S - time.monotonic()
         try:
-            return fut.result(max(0.0, left_s))
+            return fut.result(max(0.0, remaining_s))
         except concurrent.futures.TimeoutError:
-            return self._make_late("waiting for an upstream")
+            return self._make_timeout("waiting for an upstream")
 
-    def _make_late(self, reason: str) -> errors.Refusal:
+    def _make_timeout(self, reason: str) -> errors.Refusal:
         return errors.Refusal(errors.ErrorKind.TIMED_OUT, reason)
 
-    def _open(self, start: jobs.Start, after: str) -> Answer | Lost:
+    def _open(self, start: jobs.Start, after: str) -> Answer | AttemptFailure:
         self._attempts += 1
         self.parts = start.parts
-        self.heard_s = time.monotonic()
+        self.last_activity_s = time.monotonic()
         self.stalled = set()
         self.has_begun = False
         self._count_before = self._merge.count
         self._merge.begin()
-        # Watched from before it is sent: an answer's head comes with its
-        # first event, so a stage that is dead already holds up both.
+        # Watched before the request is sent: the response headers arrive with
+        # the first event, so a stage that is already dead delays both.
         if self._watch is not None and start.parts:
             self._watch.add(self)
-        res = self._upstreams.open(
-            self.call, self.job, start, after, self._abort
-        )
-        if isinstance(res, Lost):
+        res = self._sender.open(self.call, self.job, start, after, self._abort)
+        if isinstance(res, AttemptFailure):
             return res
         self._answer = res
-        self._abort.arm(res.abort)
+        self._abort.set_closer(res.abort)
         return res
 
-    def _resume(self, start: jobs.Start, after: str) -> Answer | Lost:
-        """Opens an attempt that goes on with an answer which has begun."""
+    def _resume(self, start: jobs.Start, after: str) -> Answer | AttemptFailure:
+        """Opens an attempt that resumes an answer already begun."""
         res = self._open(start, after)
-        if isinstance(res, Lost):
+        if isinstance(res, AttemptFailure):
             return res
-        form = self._judge(res, has_begun=True)
-        if isinstance(form, answers.Unfit):
-            return Lost(jobs.FailureKind.FAILED, form.reason)
+        mode = self._classify(res, has_begun=True)
+        if isinstance(mode, answers.Unusable):
+            return AttemptFailure(jobs.FailureKind.FAILED, mode.reason)
         return res
 
-    def _judge(
+    def _classify(
         self, answer: Answer, has_begun: bool
-    ) -> answers.Form | answers.Unfit:
+    ) -> answers.ForwardMode | answers.Unusable:
         fields = {n.lower(): v for n, v in answer.headers.items()}
-        return answers.judge(
+        return answers.classify(
             answer.status,
             fields.get("content-type", ""),
             self.job.route.kind is config.RouteKind.STREAMING,
             has_begun,
         )
 
-    def _read_first(self, answer: Answer) -> Whole | Answer | Lost:
-        """Reads a plain answer whole, or a stream's first event."""
-        if self._judge(answer, has_begun=False) is answers.Form.WHOLE:
-            body = self._read_whole(answer)
-            if isinstance(body, Lost):
+    def _read_first(
+        self, answer: Answer
+    ) -> CompleteAnswer | Answer | AttemptFailure:
+        """Reads a plain answer completely, or a stream's first event."""
+        if (
+            self._classify(answer, has_begun=False)
+            is answers.ForwardMode.BUFFERED
+        ):
+            body = self._read_body(answer)
+            if isinstance(body, AttemptFailure):
                 return body
-            whole = Whole(answer.status, answer.headers, body)
-            if answer.status == 200 or not self._may_repeat(answer):
+            complete = CompleteAnswer(answer.status, answer.headers, body)
+            if answer.status == 200 or not self._may_retry(answer):
                 self._is_answered = answer.status < 500
                 self._desk.tell(desk.AnswerStarted(self.job.id))
-                return whole
-            self._failed = whole
-            return Lost(jobs.FailureKind.FAILED, f"status {answer.status}")
-        while not self._first:
+                return complete
+            self._error_answer = complete
+            return AttemptFailure(
+                jobs.FailureKind.FAILED, f"status {answer.status}"
+            )
+        while not self._first_events:
             res = self._read_events(answer)
-            if isinstance(res, Lost):
+            if isinstance(res, AttemptFailure):
                 return res
             if res is None:
                 break
-            self._first += res
+            self._first_events += res
         self._desk.tell(desk.AnswerStarted(self.job.id))
         return answer
 
-    def _may_repeat(self, answer: Answer) -> bool:
-        """Tells whether a failure may be someone else's success."""
+    def _may_retry(self, answer: Answer) -> bool:
+        """Returns whether a failed request may be sent to another upstream."""
         return (
             answer.status >= 500
             and self.job.route.kind is not config.RouteKind.NON_IDEMPOTENT
         )
 
-    def _read_whole(self, answer: Answer) -> bytes | Lost:
-        pieces: list[bytes] = []
+    def _read_body(self, answer: Answer) -> bytes | AttemptFailure:
+        chunks: list[bytes] = []
         while True:
             data = answer.read_some()
-            if isinstance(data, Lost):
+            if isinstance(data, AttemptFailure):
                 return data
             if not data:
                 answer.close()
                 self._answer = None
-                return b"".join(pieces)
-            pieces.append(data)
+                return b"".join(chunks)
+            chunks.append(data)
 
-    def _read_events(self, answer: Answer) -> bytes | Lost | None:
-        """Returns the next whole events; None at the answer's end."""
+    def _read_events(self, answer: Answer) -> bytes | AttemptFailure | None:
+        """Returns the next complete events; None at the end of the answer."""
         while True:
             data = answer.read_some()
-            if isinstance(data, Lost):
+            if isinstance(data, AttemptFailure):
                 return data
-            self.heard_s = time.monotonic()
+            self.last_activity_s = time.monotonic()
             if not data:
                 return self._check_end(answer)
             passed = self._merge.feed(data)
-            if isinstance(passed, events.Flaw):
-                return Lost(jobs.FailureKind.CUT, f"events: {passed.value}")
+            if isinstance(passed, events.StreamFault):
+                return AttemptFailure(
+                    jobs.FailureKind.CUT, f"events: {passed.value}"
+                )
             if passed:
                 self.has_begun = True
-                self._note_event()
+                self._record_event()
                 return passed
 
-    def _check_end(self, answer: Answer) -> Lost | None:
-        """Returns why events that have ended are not whole, if so."""
-        flaw = self._merge.flaw
-        if flaw is not None:
-            return Lost(jobs.FailureKind.CUT, f"events: {flaw.value}")
-        if self._merge.has_rest():
-            return Lost(jobs.FailureKind.CUT, "ended within an event")
+    def _check_end(self, answer: Answer) -> AttemptFailure | None:
+        """Returns why a stream that ended is incomplete; None if it is not."""
+        fault = self._merge.fault
+        if fault is not None:
+            return AttemptFailure(
+                jobs.FailureKind.CUT, f"events: {fault.value}"
+            )
+        if self._merge.has_partial_event():
+            return AttemptFailure(jobs.FailureKind.CUT, "ended within an event")
         before = self._count_before
-        unfit = answers.judge_end(
+        unusable = answers.check_end(
             answer.status, before > 0, self._merge.count > before
         )
-        return Lost(jobs.FailureKind.FAILED, unfit.reason) if unfit else None
+        return (
+            AttemptFailure(jobs.FailureKind.FAILED, unusable.reason)
+            if unusable
+            else None
+        )
 
-    def _note_event(self) -> None:
-        now_s = self.heard_s
-        if not self._first_s:
-            self._first_s = now_s
+    def _record_event(self) -> None:
+        now_s = self.last_activity_s
+        if not self._first_event_s:
+            self._first_event_s = now_s
         else:
-            gap_s = now_s - self._last_s
-            self._gap_s = max(self._gap_s, gap_s)
-            self.usual_gap_s = silence.smooth_gap(self.usual_gap_s, gap_s)
+            gap_s = now_s - self._last_event_s
+            self._max_gap_s = max(self._max_gap_s, gap_s)
+            self.smoothed_gap_s = silence.smooth_gap(self.smoothed_gap_s, gap_s)
             if gap_s > (self.job.route.gap_s or paces.SUSPICIOUS_GAP_S):
                 ids = tuple(p.id for p in self.parts)
                 self._desk.tell(desk.AnswerPaused(ids))
-        self._last_s = now_s
+        self._last_event_s = now_s
 
-    def _pump(self, write: Write) -> Lost | None:
-        """Passes events on until the answer ends; None if it is whole."""
+    def _forward_events(self, write: Write) -> AttemptFailure | None:
+        """Forwards events until the answer ends; None if it is complete."""
         answer = self._answer
         assert answer is not None
         while True:
             res = self._read_events(answer)
-            if isinstance(res, Lost):
+            if isinstance(res, AttemptFailure):
                 return res
             if res is None:
                 answer.close()
@@ -425,49 +449,49 @@
                 return None
             write(res)
 
-    def _end_attempt(self, lost: Lost) -> None:
-        """Closes a failed attempt and asks what follows."""
+    def _end_attempt(self, failure: AttemptFailure) -> None:
+        """Closes a failed attempt and reports it to the broker."""
         if self._watch is not None:
             self._watch.remove(self)
         if self._answer is not None:
             self._answer.close()
             self._answer = None
-        self._abort.arm(None)
-        blamed = lost.blamed or tuple(self.stalled)
+        self._abort.set_closer(None)
+        blamed = failure.blamed or tuple(self.stalled)
         count = self._merge.count
-        brought = count - self._count_before
+        new_count = count - self._count_before
         decisions.record(
             decisions.AttemptFailed(
                 self.job.id,
                 self._attempts,
-                lost.why.value,
-                lost.reason,
+                failure.why.value,
+                failure.reason,
                 blamed,
                 count,
-                brought,
+                new_count,
                 self.job.fingerprint,
             )
         )
         self._fut = self._desk.fail(
             jobs.Failure(
                 self.job.id,
-                lost.why,
-                lost.reason,
+                failure.why,
+                failure.reason,
                 blamed,
                 count > 0,
-                brought > 0,
+                new_count > 0,
             )
         )
 
 
 class Watch(Protocol):
-    """Looks after streams that fell silent."""
+    """Watches streams for silence."""
 
-    def add(self, forward: Forward) -> None:
-        """Begins to watch a stream."""
+    def add(self, forward: Forwarder) -> None:
+        """Starts watching a stream."""
 
-    def remove(self, forward: Forward) -> None:
-        """Ends the watch."""
+    def remove(self, forward: Forwarder) -> None:
+        """Stops watching a stream."""
 
 
 def _resolve(fut: desk.DecisionFuture, refusal: errors.Refusal) -> None:
@@ -475,6 +499,6 @@
         if not fut.done():
             fut.set_result(refusal)
     except concurrent.futures.InvalidStateError:
-        # The broker was faster; the thread sees that the caller is gone when
-        # it next writes.
-        _LOG.debug("decision came first")
+        # The broker's decision came first; the reading thread notices the
+        # disconnect at its next write.
+        _LOG.debug("caller disconnected after the broker's decision")
--- a/egretspur/delivery/intake.py
+++ b/egretspur/delivery/intake.py
@@ -1,6 +1,6 @@
-"""From a caller's request to its job: route, workspace, limits of time.
+"""Turns a caller's request into a job: route, workspace and deadline.
 
-Refuses at once what no upstream need see. Read next:
+Requests that no upstream can serve are refused here. Read next:
 `egretspur.delivery.forward`.
 """
 
@@ -20,33 +20,35 @@
 from egretspur.delivery import forward
 from egretspur.routing import desk, jobs
 
-# Seconds after which to ask again a host that has just started.
-STARTING_S: Final = 0.5
+# Retry-After of a host that has no configuration yet.
+STARTING_RETRY_AFTER_S: Final = 0.5
 
-# Seconds after which to come back to another host; it is ready now.
-STOPPING_S: Final = 0.05
+# Retry-After of a host that is stopping; the retry goes to another host,
+# which is ready.
+STOPPING_RETRY_AFTER_S: Final = 0.05
 
 
 @attrs.frozen
-class Inbound:
-    """A caller's request as it came."""
+class InboundRequest:
+    """A caller's request as received."""
 
     call: forward.Call
     host: str
     # Path without the query.
     path: str
-    # Empty if the caller sent none.
+    # API key; empty if the caller sent none.
     key: str
-    # How long the caller waits, in seconds; None if it doesn't say.
-    patience_s: float | None
-    # Sizes of a request for a model, in tokens; 0 for others.
-    prompt: int
-    longest: int
-    estimate: int
+    # Seconds that the caller waits for its answer; None if not stated.
+    caller_timeout_s: float | None
+    # Sizes of a request for a model, in tokens; 0 for others: the prompt, the
+    # largest answer allowed and the answer expected.
+    prompt_tokens: int
+    max_answer_tokens: int
+    expected_answer_tokens: int
 
 
-class AnswerCutError(ConnectionAbortedError):
-    """An answer ends early; the connection must not look complete."""
+class AnswerInterruptedError(ConnectionAbortedError):
+    """A streamed answer ended early; aborts the caller's connection."""
 
 
 class Intake:
@@ -55,12 +57,12 @@
     def __init__(
         self,
         to: desk.Desk,
-        upstreams: forward.Upstreams,
+        sender: forward.AttemptSender,
         watch: forward.Watch,
         rng: random.Random,
     ) -> None:
         self._desk = to
-        self._upstreams = upstreams
+        self._sender = sender
         self._watch = watch
         self._rng = rng
         self._cfg: config.Configuration | None = None
@@ -69,19 +71,19 @@
         self.in_flight = 0
 
     def configure(self, cfg: config.Configuration) -> None:
-        """Takes a configuration; it holds for requests that come later."""
+        """Sets the configuration of later requests."""
         self._cfg = cfg
 
     def stop(self) -> None:
-        """Refuses requests from now on; those under way go on.
+        """Refuses new requests; running ones continue.
 
-        Symptom without it: a request that comes on a kept connection late in
-        a stop is begun, and cut when the process must end.
+        Otherwise a request that arrives late in a stop on a keep-alive
+        connection is started, and cut off when the process exits.
         """
         self._is_stopping = True
 
-    def serve(self, inbound: Inbound, req: web.Request) -> web.Response:
-        """Answers one request."""
+    def serve(self, inbound: InboundRequest, req: web.Request) -> web.Response:
+        """Serves one request."""
         job = self.make_job(inbound, time.monotonic())
         if isinstance(job, errors.Refusal):
             decisions.record(
@@ -94,41 +96,43 @@
                 )
             )
             return web.reply_refusal(job)
-        self._record(job)
-        run = forward.Forward(
-            inbound.call, job, self._desk, self._upstreams, self._watch
+        self._record_admitted(job)
+        forwarder = forward.Forwarder(
+            inbound.call, job, self._desk, self._sender, self._watch
         )
         with self._lock:
             self.in_flight += 1
-        req.on_disconnect(run.leave)
+        req.on_disconnect(forwarder.abandon)
         try:
-            res = run.begin()
+            res = forwarder.begin()
         except BaseException:
-            self._end(run)
+            self._end(forwarder)
             raise
         if isinstance(res, errors.Refusal):
-            run.record_end(0, None)
-            self._end(run)
+            forwarder.record_end(0, None)
+            self._end(forwarder)
             return web.reply_refusal(res)
-        if isinstance(res, forward.Whole):
-            run.record_end(res.status, None)
-            self._end(run)
+        if isinstance(res, forward.CompleteAnswer):
+            forwarder.record_end(res.status, None)
+            self._end(forwarder)
             return web.Response(res.status, dict(res.headers), res.body)
-        body = _StreamBody(run, self._end)
+        body = _StreamBody(forwarder, self._end)
         return web.Response(res.status, dict(res.headers), body)
 
     def make_job(
-        self, inbound: Inbound, now_s: float
+        self, inbound: InboundRequest, now_s: float
     ) -> jobs.Job | errors.Refusal:
-        """Returns the job of a request, or why there is none."""
+        """Returns the job of a request, or why it is refused."""
         if self._is_stopping:
             return errors.Refusal(
-                errors.ErrorKind.STOPPING, "stop signal", STOPPING_S
+                errors.ErrorKind.STOPPING, "stop signal", STOPPING_RETRY_AFTER_S
             )
         cfg = self._cfg
         if cfg is None:
             return errors.Refusal(
-                errors.ErrorKind.NOT_CONFIGURED, "starting", STARTING_S
+                errors.ErrorKind.NOT_CONFIGURED,
+                "starting",
+                STARTING_RETRY_AFTER_S,
             )
         route = cfg.find_route(inbound.host, inbound.path)
         if route is None:
@@ -141,8 +145,8 @@
             workspace = found
         service = config.choose_service(route, self._rng)
         wait_s = route.timeout_s
-        if inbound.patience_s is not None:
-            wait_s = min(wait_s, inbound.patience_s)
+        if inbound.caller_timeout_s is not None:
+            wait_s = min(wait_s, inbound.caller_timeout_s)
         priority = workspace.priority
         return jobs.Job(
             id=inbound.call.id,
@@ -156,7 +160,7 @@
             fingerprint=_compute_fingerprint(inbound, workspace),
         )
 
-    def _record(self, job: jobs.Job) -> None:
+    def _record_admitted(self, job: jobs.Job) -> None:
         version = self._cfg.version if self._cfg else 0
         decisions.record(
             decisions.RequestAdmitted(
@@ -172,16 +176,19 @@
             )
         )
 
-    def _end(self, run: forward.Forward) -> None:
-        run.close()
+    def _end(self, forwarder: forward.Forwarder) -> None:
+        forwarder.close()
         with self._lock:
             self.in_flight -= 1
 
 
-def _compute_fingerprint(inbound: Inbound, workspace: config.Workspace) -> str:
-    """Returns by what the request is known again.
+def _compute_fingerprint(
+    inbound: InboundRequest, workspace: config.Workspace
+) -> str:
+    """Returns the fingerprint that is the same for retries of a request.
 
-    A workspace may have several keys; on public routes any caller may send it.
+    It contains the workspace instead of the API key, since a workspace may
+    have several keys and public routes need none.
     """
     call = inbound.call
     return fingerprint.compute(
@@ -193,41 +200,45 @@
     )
 
 
-def _estimate_tokens(service: config.Service | None, inbound: Inbound) -> float:
+def _estimate_tokens(
+    service: config.Service | None, inbound: InboundRequest
+) -> float:
     if service is None or service.engine is None:
         return 0.0
     spec = service.engine
     return room.estimate_tokens(
-        inbound.prompt or spec.typical_prompt_tokens,
-        inbound.longest,
-        inbound.estimate,
+        inbound.prompt_tokens or spec.typical_prompt_tokens,
+        inbound.max_answer_tokens,
+        inbound.expected_answer_tokens,
         spec.typical_answer_tokens,
     )
 
 
 class _StreamBody:
-    """A stream that is pushed to the caller."""
+    """The body of a streamed answer."""
 
     def __init__(
-        self, run: forward.Forward, end: Callable[[forward.Forward], None]
+        self,
+        forwarder: forward.Forwarder,
+        end: Callable[[forward.Forwarder], None],
     ) -> None:
-        self._run = run
+        self._forwarder = forwarder
         self._end = end
 
     def push(self, write: Callable[[bytes], Any]) -> None:
         """Writes the events.
 
         Raises:
-            AnswerCutError: The stream ended early.
+            AnswerInterruptedError: The stream ended early.
         """
         refusal: errors.Refusal | None = None
         try:
-            refusal = self._run.run(write)
+            refusal = self._forwarder.run(write)
         except web.CallerDisconnected:
-            self._run.is_gone = True
+            self._forwarder.is_caller_gone = True
             raise
         finally:
-            self._run.record_end(200, refusal)
-            self._end(self._run)
+            self._forwarder.record_end(200, refusal)
+            self._end(self._forwarder)
         if refusal is not None:
-            raise AnswerCutError(refusal.reason)
+            raise AnswerInterruptedError(refusal.reason)
--- a/egretspur/delivery/pump.py
+++ b/egretspur/delivery/pump.py
@@ -1,8 +1,8 @@
-"""The pump: one thread that reads the streams of all requests.
+"""Reads the streams of all requests in one thread, the pump.
 
-A thread for each stream would spend most of its time being woken: at 20
-events a second a stream, the switch costs more than reading, checking and
-writing the event. The pump reads whatever has arrived on any stream and hands
+A thread for each stream would spend most of its time on context switches: at
+20 events per second and stream, a switch costs more than reading, checking and
+writing the event. The pump reads whatever has arrived on any stream and passes
 it to that stream's consumer; see docs/design/relay.md for the figures.
 """
 
@@ -21,34 +21,35 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Pause between two rounds, in seconds: events that arrive within it are
-# handled in one wake-up. A token waits for half of it on average, against the
-# 51 ms allowed between tokens.
-ROUND_S: Final = 0.004
+# Sleep after each round of reads, so that events which arrive close together
+# are handled in one wake-up. It delays a token by half of it on average, of
+# the 51 ms allowed between tokens.
+ROUND_SLEEP_S: Final = 0.004
 
-# Seconds between two looks for silent streams.
-SILENCE_CHECK_S: Final = 0.05
+# Interval between checks for silent streams.
+SILENCE_CHECK_INTERVAL_S: Final = 0.05
 
 
 class Consumer(Protocol):
-    """Takes the events of one stream, in the pump's thread."""
+    """Handles the events of one stream, in the pump's thread."""
 
-    def take(self, events: list[engine.Event]) -> bool:
-        """Takes events; returns False once it wants no more."""
+    def handle_events(self, events: list[engine.Event]) -> bool:
+        """Handles events; returns whether to read more."""
 
 
 @attrs.define(eq=False)
 class _Entry:
     stream: engine.EventStream
     consumer: Consumer
-    heard_s: float
-    # Longest silence before the next event.
-    bound_s: float
+    # When the stream was last read.
+    last_read_s: float
+    # Maximum seconds until the next event.
+    max_silence_s: float
     done: threading.Event = attrs.Factory(threading.Event)
     broken: engine.Broken | None = None
 
     def finish(self, broken: engine.Broken | None) -> None:
-        """Wakes whoever handed it in."""
+        """Wakes the thread that waits in `Pump.run`."""
         self.broken = broken
         self.done.set()
 
@@ -59,13 +60,13 @@
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
         self._lock = threading.Lock()
-        self._added: list[_Entry] = []
+        self._new_entries: list[_Entry] = []
         self._entries: set[_Entry] = set()
         self._is_idle = True
         self._stop = False
-        self._waker, self._wakee = socket.socketpair()
-        self._wakee.setblocking(False)
-        self._selector.register(self._wakee, selectors.EVENT_READ, None)
+        self._wake_send, self._wake_recv = socket.socketpair()
+        self._wake_recv.setblocking(False)
+        self._selector.register(self._wake_recv, selectors.EVENT_READ, None)
         self._thread = threading.Thread(
             target=self._run, name="pump", daemon=True
         )
@@ -75,83 +76,86 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Stops the thread; streams still open count as broken."""
+        """Stops the thread; open streams end as broken."""
         self._stop = True
-        self._waker.send(b"x")
+        self._wake_send.send(b"x")
         self._thread.join(timeout=1.0)
 
     def run(
-        self, stream: engine.EventStream, consumer: Consumer, first_s: float
+        self,
+        stream: engine.EventStream,
+        consumer: Consumer,
+        max_silence_s: float,
     ) -> engine.Broken | None:
-        """Passes a stream's events to its consumer until it is over.
+        """Passes a stream's events to its consumer until the stream ends.
 
         Args:
-            stream: Read by the pump alone until this returns.
+            stream: Must not be read by other threads until this returns.
             consumer: Called in the pump's thread; must not block.
-            first_s: Longest silence in seconds before the next event.
+            max_silence_s: Maximum seconds until the next event.
 
         Returns:
-            Why the stream broke; None if the consumer wants no more.
+            Why the stream broke; None if the consumer stopped it.
         """
-        entry = _Entry(stream, consumer, time.monotonic(), first_s)
+        entry = _Entry(stream, consumer, time.monotonic(), max_silence_s)
         stream.bound_reads()
         with self._lock:
-            self._added.append(entry)
+            self._new_entries.append(entry)
             if self._is_idle:
-                self._waker.send(b"x")
+                self._wake_send.send(b"x")
         entry.done.wait()
         return entry.broken
 
     def _run(self) -> None:
         checked_s = time.monotonic()
         while not self._stop:
-            self._take_added()
-            wait = SILENCE_CHECK_S if self._entries else None
+            self._register_new()
+            wait = SILENCE_CHECK_INTERVAL_S if self._entries else None
             ready = self._selector.select(wait)
             for key, _ in ready:
                 if key.data is None:
-                    self._wakee.recv(4096)
+                    self._wake_recv.recv(4096)
                 else:
                     self._read(key.data)
             now = time.monotonic()
-            if now - checked_s >= SILENCE_CHECK_S:
+            if now - checked_s >= SILENCE_CHECK_INTERVAL_S:
                 checked_s = now
                 self._end_silent(now)
             if ready:
-                time.sleep(ROUND_S)
+                time.sleep(ROUND_SLEEP_S)
         for entry in list(self._entries):
-            self._end(entry, engine.Broken("the router stops", True))
+            self._end(entry, engine.Broken("router is stopping", True))
 
-    def _take_added(self) -> None:
-        """Begins to read what was added, until there is nothing more.
+    def _register_new(self) -> None:
+        """Registers added streams until there are none left.
 
-        Whether the thread may rest is looked at last: an answer that lies
-        whole in its buffer is over before the next rest. Symptom were it
-        looked at before: the thread rests, nobody wakes it, and the next
-        answers stand still for ever.
+        The idle flag is set last: a stream whose answer is completely buffered
+        ends while it is registered. If the flag were set before, the thread
+        would sleep while marked busy, nobody would wake it, and later answers
+        would hang for ever.
         """
         while True:
             with self._lock:
-                added, self._added = self._added, []
+                added, self._new_entries = self._new_entries, []
                 if not added:
                     self._is_idle = not self._entries
                     return
-            self._begin(added)
+            self._register(added)
 
-    def _begin(self, added: list[_Entry]) -> None:
+    def _register(self, added: list[_Entry]) -> None:
         for entry in added:
             try:
                 self._selector.register(
                     entry.stream.sock, selectors.EVENT_READ, entry
                 )
             except (KeyError, OSError, ValueError) as exc:
-                # One stream's trouble must not stop all the others.
-                _LOG.info("stream not watched", extra={"reason": repr(exc)})
+                # A failure of one stream must not stop the others.
+                _LOG.info("stream not registered", extra={"reason": repr(exc)})
                 entry.finish(engine.Broken(repr(exc), maybe_started=True))
                 continue
             self._entries.add(entry)
-            # Bytes may have been read into the buffer together with the
-            # response's head; they don't make the socket readable.
+            # Bytes that were read together with the response headers are in
+            # the buffer and don't make the socket readable.
             if entry.stream.has_buffered():
                 self._read(entry)
 
@@ -160,31 +164,32 @@
         if isinstance(events, engine.Broken):
             self._end(entry, events)
             return
-        entry.heard_s = time.monotonic()
-        entry.bound_s = entry.stream.between_s
+        entry.last_read_s = time.monotonic()
+        entry.max_silence_s = entry.stream.between_s
         try:
-            wants_more = entry.consumer.take(events)
+            wants_more = entry.consumer.handle_events(events)
         except Exception as exc:
-            # One stream's trouble must not stop all the others.
-            _LOG.exception("consumer failed")
+            # A failure of one stream must not stop the others.
+            _LOG.exception("stream consumer failed")
             self._end(entry, engine.Broken(repr(exc), maybe_started=True))
             return
         if not wants_more:
             self._end(entry, None)
         elif entry.stream.ended:
-            self._end(entry, engine.Broken("no end", maybe_started=True))
+            self._end(entry, engine.Broken("no end event", maybe_started=True))
         elif entry.stream.broken is not None:
-            # At once: its connection may be used for another answer by now.
+            # Without another read: another answer may already use the
+            # connection.
             self._end(entry, entry.stream.broken)
 
     def _end_silent(self, now_s: float) -> None:
         for entry in list(self._entries):
-            silence = now_s - entry.heard_s
-            if silence > entry.bound_s:
+            silent_s = now_s - entry.last_read_s
+            if silent_s > entry.max_silence_s:
                 self._end(
                     entry,
                     engine.Broken(
-                        f"silent for {silence:.2f} s", maybe_started=True
+                        f"silent for {silent_s:.2f} s", maybe_started=True
                     ),
                 )
 
--- a/egretspur/delivery/watch.py
+++ b/egretspur/delivery/watch.py
@@ -1,11 +1,11 @@
-"""Looks after streams that fell silent, and moves them off dead stages.
-
-Symptom without it: a stage dies, and every answer that runs over it stands
-still for two seconds until the platform cuts it, by when its caller has turned
-away. Streams that share a stage fall silent together
-(`egretspur.delivery.silence`): the stages that may be the cause are asked at
-once, and one that does not answer while others do is left. What that doesn't
-find, the first engine of a path knows some hundred milliseconds later.
+"""Watches streams for silence and reroutes them around dead stages.
+
+Otherwise, when a stage dies, every answer over it stalls for two seconds until
+the platform cuts it, by which time its caller has disconnected. Streams that
+share a stage fall silent together (`egretspur.delivery.silence`): the stages
+that may be the cause are probed at once, and streams are rerouted around those
+that do not answer while others do. A stalled stage that this misses is in the
+report of the path's first engine some hundred milliseconds later.
 """
 
 from __future__ import annotations
@@ -21,81 +21,90 @@
 from egretspur.delivery import forward, silence
 from egretspur.routing import desk, paths
 
-# Seconds between two looks where a stream is nearly silent, and where all were
-# heard of late: less than the shortest silence that counts.
-PERIOD_S: Final = 0.02
-REST_S: Final = 0.045
+# Shortest interval between checks, used when a stream is nearly silent, and
+# longest one, used when all had recent events: below the shortest silence that
+# counts.
+MIN_CHECK_INTERVAL_S: Final = 0.02
+MAX_CHECK_INTERVAL_S: Final = 0.045
 
-# While there is no stream one is looked for so rarely; a new one is told.
-IDLE_S: Final = 1.0
+# Longest wait for a first stream; `add` ends it early.
+IDLE_WAIT_S: Final = 1.0
 
-# What another host finds failing is looked at for so long.
-HEARD_S: Final = 0.6
+# Time for which an upstream that another host reported failing is suspected.
+PEER_SUSPICION_S: Final = 0.6
 
-# A stream without an event for so long is asked about, where its route does
-# not tell which pause is late. Events come every few tens of milliseconds.
-SILENT_S: Final = 0.3
+# Silence after which the first engine of a stream's path is asked for its
+# report, if the stream's route sets no maximum gap. Events arrive every few
+# tens of milliseconds.
+MAX_SILENCE_S: Final = 0.3
 
-# Before the first event the prompt is read: 50 ms as a rule, 200 ms in a
-# burst. A request moved by then still has its first event within 0.5 s.
-SILENT_FIRST_S: Final = 0.25
+# The same before the first event. The prefill takes 50 ms as a rule and 200 ms
+# in a burst; a request rerouted after this time still has its first event
+# within 0.5 s.
+MAX_FIRST_EVENT_S: Final = 0.25
 
-# Part of its caller's patience after which a silent stream that can't be moved
-# is ended, so that it goes on over another path before its caller turns away.
-HOPELESS_PART: Final = 0.55
+# Fraction of the caller's patience after which a silent attempt that can't be
+# rerouted is ended, so that another one resumes the answer before the caller
+# disconnects.
+ABORT_PATIENCE_FRACTION: Final = 0.55
 
-# Seconds between two questions to one engine.
-ASK_S: Final = 0.25
+# Minimum interval between two requests for an engine's report.
+REPORT_INTERVAL_S: Final = 0.25
 
-# Suspected stages asked at the same moment. A path has some ten; where more
-# are silent, it is this host that hears nobody.
-MOST_ASKED: Final = 12
+# Maximum number of suspected stages probed at once. A path has about ten; if
+# more are silent, this host itself is slow or cut off.
+MAX_PROBES: Final = 12
 
 
 class Engines(Protocol):
-    """Reports of engines and orders to them."""
+    """Fetches engines' reports and sends orders to engines."""
 
     def get_report(self, address: str) -> upstreams.EngineReport | str:
-        """Returns a report, or why there is none."""
+        """Returns an engine's report, or why there is none."""
 
     def peek(self, address: str) -> upstreams.EngineReport | str:
-        """Returns a report that comes at once, or why there is none."""
+        """Like `get_report`, with a short time-out."""
 
     def repath(
         self, address: str, request_id: str, parts: Sequence[paths.Part]
     ) -> str:
-        """Moves a running request; returns why it could not."""
+        """Reroutes a running request; returns why it failed, if it did."""
 
 
 class StreamWatch:
-    """See the module's docstring."""
+    """Detects silent streams in a thread and reroutes or ends them."""
 
     def __init__(
-        self, to: desk.Desk, engines: Engines, is_early: bool = True
+        self,
+        to: desk.Desk,
+        engines: Engines,
+        checks_shared_silence: bool = True,
     ) -> None:
-        """Makes a watch.
+        """Creates a watch; `start` starts its thread.
 
         Args:
-            to: Where it asks for other paths.
-            engines: Where it asks and orders.
-            is_early: It looks for streams that fall silent together.
+            to: Chooses other paths.
+            engines: Fetches reports and sends orders.
+            checks_shared_silence: Whether to check for streams that fall
+                silent together.
         """
         self._desk = to
-        self._is_early = is_early
+        self._checks_shared_silence = checks_shared_silence
         self._engines = engines
         self._lock = threading.Lock()
-        self._streams: set[forward.Forward] = set()
-        # Streams that were asked to move, with the time.
-        self._moved: dict[forward.Forward, float] = {}
-        self._asked: dict[str, float] = {}
-        # When a suspected stage was last asked, by id.
-        self._peeked: dict[str, float] = {}
-        # What other hosts find failing, and when that was heard.
-        self._heard: dict[str, float] = {}
+        self._streams: set[forward.Forwarder] = set()
+        # When each rerouted stream was rerouted.
+        self._rerouted_s: dict[forward.Forwarder, float] = {}
+        # When a first engine was last asked for its report, by id.
+        self._last_report_s: dict[str, float] = {}
+        # When a suspected stage was last probed, by id.
+        self._probed_s: dict[str, float] = {}
+        # When another host last reported an upstream failing, by id.
+        self._peer_suspects: dict[str, float] = {}
         # Set while there are streams.
         self._has_streams = threading.Event()
         self._pool = concurrent.futures.ThreadPoolExecutor(
-            MOST_ASKED, thread_name_prefix="peek"
+            MAX_PROBES, thread_name_prefix="peek"
         )
         self._stop = threading.Event()
         self._thread = threading.Thread(
@@ -103,135 +112,148 @@
         )
 
     def start(self) -> None:
-        """Starts to look."""
+        """Starts the thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stops."""
+        """Stops the thread and the probes."""
         self._stop.set()
         self._has_streams.set()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
-    def add(self, stream: forward.Forward) -> None:
-        """Begins to watch a stream."""
+    def add(self, stream: forward.Forwarder) -> None:
+        """Starts watching a stream."""
         with self._lock:
             self._streams.add(stream)
             self._has_streams.set()
 
-    def remove(self, stream: forward.Forward) -> None:
-        """Ends the watch."""
+    def remove(self, stream: forward.Forwarder) -> None:
+        """Stops watching a stream."""
         with self._lock:
             self._streams.discard(stream)
-            self._moved.pop(stream, None)
+            self._rerouted_s.pop(stream, None)
             if not self._streams:
                 self._has_streams.clear()
 
-    def hear(self, suspects: Collection[str]) -> None:
-        """Takes upstreams that other hosts find failing."""
+    def record_peer_suspects(self, suspects: Collection[str]) -> None:
+        """Records upstreams that other hosts report failing."""
         if suspects:
             now_s = time.monotonic()
             with self._lock:
-                self._heard.update(dict.fromkeys(suspects, now_s))
+                self._peer_suspects.update(dict.fromkeys(suspects, now_s))
 
     def _run(self) -> None:
-        while not self._stop.wait(self._find_rest(time.monotonic())):
-            self._has_streams.wait(IDLE_S)
+        while not self._stop.wait(self._compute_wait(time.monotonic())):
+            self._has_streams.wait(IDLE_WAIT_S)
             with guard.log_exceptions("watch"):
-                self.look(time.monotonic())
+                self.check_streams(time.monotonic())
 
-    def _find_rest(self, now_s: float) -> float:
-        """Returns how long nothing is to be looked at, in seconds."""
+    def _compute_wait(self, now_s: float) -> float:
+        """Returns the seconds until the next check."""
         with self._lock:
-            heard_s = min((s.heard_s for s in self._streams), default=now_s)
-        rest_s = heard_s + silence.LEAST_S - now_s
-        return min(max(rest_s, PERIOD_S), REST_S)
+            last_activity_s = min(
+                (s.last_activity_s for s in self._streams), default=now_s
+            )
+        wait_s = last_activity_s + silence.MIN_SILENCE_S - now_s
+        return min(max(wait_s, MIN_CHECK_INTERVAL_S), MAX_CHECK_INTERVAL_S)
 
-    def look(self, now_s: float) -> None:
-        """Deals with the streams that are silent now."""
+    def check_streams(self, now_s: float) -> None:
+        """Handles the streams that are silent now."""
         with self._lock:
             streams = list(self._streams)
-        if self._is_early:
-            self._look_early(streams, now_s)
-        by_first: dict[paths.Part, list[forward.Forward]] = {}
+        if self._checks_shared_silence:
+            self._check_shared_silence(streams, now_s)
+        by_first: dict[paths.Part, list[forward.Forwarder]] = {}
         for stream in streams:
             if is_silent(stream, now_s):
                 by_first.setdefault(stream.parts[0], []).append(stream)
         for first, silent in by_first.items():
-            if now_s - self._asked.get(first.id, -ASK_S) < ASK_S:
+            if (
+                now_s - self._last_report_s.get(first.id, -REPORT_INTERVAL_S)
+                < REPORT_INTERVAL_S
+            ):
                 continue
             if not self._desk.may_query(first.id):
                 continue
-            self._asked[first.id] = now_s
-            self._handle(first, silent)
+            self._last_report_s[first.id] = now_s
+            self._check_first_engine(first, silent)
 
-    def _look_early(
-        self, streams: Sequence[forward.Forward], now_s: float
+    def _check_shared_silence(
+        self, streams: Sequence[forward.Forwarder], now_s: float
     ) -> None:
-        """Leaves stages that streams show to be dead, before a report does."""
+        """Finds dead stages from silent streams, before a report names them."""
         begun = [s for s in streams if s.has_begun]
-        # Nearly all looks find nobody silent, and they are many.
-        if all(now_s - s.heard_s <= silence.LEAST_S for s in begun):
+        # Fast path: checks are frequent and nearly all find no silent stream.
+        if all(
+            now_s - s.last_activity_s <= silence.MIN_SILENCE_S for s in begun
+        ):
             return
         suspects = silence.find_suspects(
             [
-                silence.Heard(
+                silence.StreamActivity(
                     tuple(p.id for p in s.parts),
-                    now_s - s.heard_s,
-                    s.usual_gap_s,
+                    now_s - s.last_activity_s,
+                    s.smoothed_gap_s,
                 )
                 for s in begun
             ]
-        ) | self._list_heard(begun, now_s)
+        ) | self._list_peer_suspects(begun, now_s)
         addresses = {
             p.id: p.address
             for s in streams
             for p in s.parts
             if p.id in suspects
-            and now_s - self._peeked.get(p.id, -ASK_S) >= ASK_S
+            and now_s - self._probed_s.get(p.id, -REPORT_INTERVAL_S)
+            >= REPORT_INTERVAL_S
         }
-        if not addresses or len(addresses) > MOST_ASKED:
+        if not addresses or len(addresses) > MAX_PROBES:
             return
-        witness = _find_witness(begun, suspects)
-        if witness is not None:
-            addresses[witness.id] = witness.address
+        active = _find_active_stage(begun, suspects)
+        if active is not None:
+            addresses[active.id] = active.address
         addresses = {
             i: a for i, a in addresses.items() if self._desk.may_query(i)
         }
-        self._peeked = {
-            i: t for i, t in self._peeked.items() if now_s - t < ASK_S
+        self._probed_s = {
+            i: t
+            for i, t in self._probed_s.items()
+            if now_s - t < REPORT_INTERVAL_S
         }
-        self._peeked.update(dict.fromkeys(addresses, now_s))
-        dead = self._peek(addresses)
+        self._probed_s.update(dict.fromkeys(addresses, now_s))
+        dead = self._probe(addresses)
         if dead:
-            self._leave(dead, streams)
+            self._reroute_around(dead, streams)
 
-    def _list_heard(
-        self, streams: Sequence[forward.Forward], now_s: float
+    def _list_peer_suspects(
+        self, streams: Sequence[forward.Forwarder], now_s: float
     ) -> set[str]:
-        """Returns stages of silent streams that other hosts find failing.
+        """Returns stages of silent streams that other hosts report failing.
 
-        Among many hosts each has a few streams, too few to tell by themselves
-        which stage holds them up.
+        With many hosts, each has only a few streams, too few to find the
+        stalled stage by themselves.
         """
         with self._lock:
-            self._heard = {
-                i: t for i, t in self._heard.items() if now_s - t < HEARD_S
+            self._peer_suspects = {
+                i: t
+                for i, t in self._peer_suspects.items()
+                if now_s - t < PEER_SUSPICION_S
             }
-            heard = set(self._heard)
-        if not heard:
+            suspects = set(self._peer_suspects)
+        if not suspects:
             return set()
         return {
             p.id
             for s in streams
-            if now_s - s.heard_s > silence.LEAST_S
+            if now_s - s.last_activity_s > silence.MIN_SILENCE_S
             for p in s.parts
-            if p.id in heard
+            if p.id in suspects
         }
 
-    def _peek(self, addresses: Mapping[str, str]) -> frozenset[str]:
-        """Asks suspected stages; returns those that are dead.
+    def _probe(self, addresses: Mapping[str, str]) -> frozenset[str]:
+        """Probes suspected stages; returns those that are dead.
 
-        Where none answers, it may be this host that is slow or cut off.
+        Returns none if no probe is answered: this host itself may be slow or
+        cut off.
         """
         ids = list(addresses)
         reports = self._pool.map(self._engines.peek, addresses.values())
@@ -243,27 +265,27 @@
             return frozenset()
         return frozenset(found) - frozenset(answered)
 
-    def _leave(
-        self, dead: frozenset[str], streams: Sequence[forward.Forward]
+    def _reroute_around(
+        self, dead: frozenset[str], streams: Sequence[forward.Forwarder]
     ) -> None:
-        """Moves all streams off dead stages, the least late ones first."""
+        """Reroutes streams around dead stages, the least late ones first."""
         for upstream_id in dead:
             self._desk.tell(desk.UpstreamFailed(upstream_id))
-        over = [s for s in streams if dead & {p.id for p in s.parts}]
+        affected = [s for s in streams if dead & {p.id for p in s.parts}]
 
-        def leave(stream: forward.Forward) -> None:
+        def reroute(stream: forward.Forwarder) -> None:
             stalled = frozenset(p.id for p in stream.parts) & dead
             stream.stalled |= stalled
-            self._move(stream, stalled)
+            self._reroute(stream, stalled)
 
-        # Side by side: each waits for the answer to its order.
-        least_late = sorted(over, key=lambda s: -s.heard_s)
+        # In parallel, since each waits for an engine's reply.
+        least_late = sorted(affected, key=lambda s: -s.last_activity_s)
         concurrent.futures.wait(
-            [self._pool.submit(leave, s) for s in least_late]
+            [self._pool.submit(reroute, s) for s in least_late]
         )
 
-    def _handle(
-        self, first: paths.Part, streams: Sequence[forward.Forward]
+    def _check_first_engine(
+        self, first: paths.Part, streams: Sequence[forward.Forwarder]
     ) -> None:
         report = self._engines.get_report(first.address)
         if isinstance(report, str):
@@ -279,27 +301,29 @@
             for upstream_id in stalled:
                 self._desk.tell(desk.UpstreamFailed(upstream_id))
             stream.stalled |= stalled
-            if stalled and self._move(stream, stalled):
+            if stalled and self._reroute(stream, stalled):
                 continue
-            silent_s = time.monotonic() - stream.heard_s
-            if silent_s > _get_hopeless_s(stream) and stalled:
+            silent_s = time.monotonic() - stream.last_activity_s
+            if silent_s > _get_abort_silence_s(stream) and stalled:
                 self._end_attempt(stream)
 
-    def _end_attempt(self, stream: forward.Forward) -> None:
-        """Ends a silent attempt if another one may follow.
+    def _end_attempt(self, stream: forward.Forwarder) -> None:
+        """Ends a silent attempt if a retry is allowed.
 
-        Else it is left to go on: its engine may only be slow, and if it is
-        dead the platform cuts the answer itself.
+        Otherwise it continues: its engine may only be slow, and if it is dead
+        the platform cuts the answer itself.
         """
         if self._desk.reserve_retry(stream.job.id):
             stream.interrupt()
 
-    def _move(self, stream: forward.Forward, stalled: frozenset[str]) -> bool:
-        """Tells whether a stream was moved, now or a moment ago."""
+    def _reroute(
+        self, stream: forward.Forwarder, stalled: frozenset[str]
+    ) -> bool:
+        """Reroutes a stream; returns whether it was, now or recently."""
         now_s = time.monotonic()
-        moved_s = self._moved.get(stream)
-        if moved_s is not None:
-            return now_s - moved_s < _get_hopeless_s(stream)
+        rerouted_s = self._rerouted_s.get(stream)
+        if rerouted_s is not None:
+            return now_s - rerouted_s < _get_abort_silence_s(stream)
         detour = self._desk.reroute(stream.job.id, stalled, stream.has_begun)
         if detour.is_ended:
             stream.interrupt()
@@ -312,7 +336,7 @@
             decisions.RequestMoved(
                 stream.job.id,
                 tuple(sorted(stalled)),
-                now_s - stream.heard_s,
+                now_s - stream.last_activity_s,
                 problem,
                 paths.format_path(parts),
             )
@@ -322,32 +346,32 @@
         stream.parts = parts
         with self._lock:
             if stream in self._streams:
-                self._moved[stream] = now_s
+                self._rerouted_s[stream] = now_s
         return True
 
 
-def _find_witness(
-    streams: Sequence[forward.Forward], suspects: set[str]
+def _find_active_stage(
+    streams: Sequence[forward.Forwarder], suspects: set[str]
 ) -> paths.Part | None:
-    """Returns a stage over which events come, to be asked beside suspects.
+    """Returns a working stage, to be probed together with the suspects.
 
-    Where it does not answer either, it is this host that hears nobody.
+    If it does not answer either, this host itself is slow or cut off.
     """
-    for stream in sorted(streams, key=lambda s: -s.heard_s):
+    for stream in sorted(streams, key=lambda s: -s.last_activity_s):
         for part in stream.parts:
             if part.id not in suspects:
                 return part
     return None
 
 
-def is_silent(stream: forward.Forward, now_s: float) -> bool:
-    """Tells whether a stream has had no event for too long."""
-    bound_s = SILENT_FIRST_S
+def is_silent(stream: forward.Forwarder, now_s: float) -> bool:
+    """Returns whether a stream has had no event for too long."""
+    limit_s = MAX_FIRST_EVENT_S
     if stream.has_begun:
-        bound_s = stream.job.route.gap_s or SILENT_S
-    return bool(stream.parts) and now_s - stream.heard_s > bound_s
+        limit_s = stream.job.route.gap_s or MAX_SILENCE_S
+    return bool(stream.parts) and now_s - stream.last_activity_s > limit_s
 
 
-def _get_hopeless_s(stream: forward.Forward) -> float:
-    """Returns how long a stream may be silent before it is ended."""
-    return HOPELESS_PART * stream.job.route.caller_silence_s
+def _get_abort_silence_s(stream: forward.Forwarder) -> float:
+    """Returns the seconds of silence after which an attempt is ended."""
+    return ABORT_PATIENCE_FRACTION * stream.job.route.caller_silence_s
--- a/egretspur/platform/ingress.py
+++ b/egretspur/platform/ingress.py
@@ -28,7 +28,7 @@
 _BEARER: Final = "bearer "
 
 
-def read_request(req: web.Request) -> intake.Inbound:
+def read_request(req: web.Request) -> intake.InboundRequest:
     """Returns a request in the product's terms."""
     fields = req.get_headers()
     target = req.get_target()
@@ -44,15 +44,15 @@
         body=req.read_body(),
         resume_after=fields.get(names.RESUME_AFTER, ""),
     )
-    return intake.Inbound(
+    return intake.InboundRequest(
         call=call,
         host=fields.get("Host", ""),
         path=target.partition("?")[0],
         key=_read_key(fields.get(names.KEY, "")),
-        patience_s=_read_patience(fields.get(names.DEADLINE, "")),
-        prompt=tokens.prompt if tokens else 0,
-        longest=tokens.longest if tokens else 0,
-        estimate=tokens.estimate if tokens else 0,
+        caller_timeout_s=_read_patience(fields.get(names.DEADLINE, "")),
+        prompt_tokens=tokens.prompt if tokens else 0,
+        max_answer_tokens=tokens.longest if tokens else 0,
+        expected_answer_tokens=tokens.estimate if tokens else 0,
     )
 
 
--- a/tests/routing/world.py
+++ b/tests/routing/world.py
@@ -67,7 +67,7 @@
 
     id: str
     router: int
-    merge: attempts.Merge
+    merge: attempts.TokenMerge
     current: Attempt | None = None
     # All attempts started so far; late events may come from any.
     attempts: list[Attempt] = attrs.Factory(list)
@@ -160,7 +160,7 @@
     def arrive(self, number: int, workspace: str) -> None:
         """Sends a caller's request to a router."""
         name = f"q{len(self.requests)}"
-        self.requests[name] = Request(name, number, attempts.Merge(name))
+        self.requests[name] = Request(name, number, attempts.TokenMerge(name))
         arrival = messages.Arrival(name, workspace, "m")
         self.run(number, self.routers[number].arrive(arrival, self.now))
 
@@ -187,7 +187,7 @@
             for e in grant.path.edges
         )
         trail = engine.format_trail(hops)
-        attempt = attempts.begin(request.merge, trail)
+        attempt = attempts.begin_attempt(request.merge, trail)
         request.current = Attempt(
             grant,
             attempt,
@@ -201,7 +201,7 @@
         """Delivers an event on the request's current connection."""
         if request.current is None:
             return
-        decision = attempts.accept(request.merge, event)
+        decision = attempts.apply_event(request.merge, event)
         if isinstance(decision, attempts.Deliver):
             request.texts.append(decision.text)
             # A delivered event must belong to this request and its current
--- a/tests/steps/forward_steps.py
+++ b/tests/steps/forward_steps.py
@@ -52,13 +52,13 @@
 
 
 def feed(context: Any, pieces: list[bytes]) -> None:
-    """Gives bytes to the merge; keeps what is passed on."""
+    """Feeds bytes to the merge; keeps those to forward."""
     if not hasattr(context, "merge"):
-        context.merge = events.Merge()
+        context.merge = events.EventMerge()
         context.passed = b""
     for piece in pieces:
         res = context.merge.feed(piece)
-        if isinstance(res, events.Flaw):
+        if isinstance(res, events.StreamFault):
             context.passed = res
             return
         context.passed += res
@@ -69,25 +69,25 @@
     context.merge.begin()
 
 
-@then('"{ids}" is passed on and the rest is "{rest}"')
-@then('"{ids}" is passed on and the rest is ""')
+@then('"{ids}" is forwarded and the rest is "{rest}"')
+@then('"{ids}" is forwarded and the rest is ""')
 def step_passed(context: Any, ids: str, rest: str = "") -> None:
     ids, _, flaw = ids.partition(", ")
     assert read_ids(context.passed) == [int(i) for i in ids.split()]
-    assert (context.merge.flaw.value if flaw else None) == (flaw or None)
-    assert context.merge.has_rest() == bool(rest)
+    assert (context.merge.fault.value if flaw else None) == (flaw or None)
+    assert context.merge.has_partial_event() == bool(rest)
     if flaw:
-        # Nothing that comes after it is passed on.
-        assert context.merge.feed(make_event(9)) == context.merge.flaw
+        # Nothing after a fault is forwarded.
+        assert context.merge.feed(make_event(9)) == context.merge.fault
 
 
-@when("answers are cut and gone on with at random")
+@when("answers are interrupted and resumed at random")
 def step_random_cuts(context: Any) -> None:
     context.results = []
     for seed in range(300):
         rng = random.Random(seed)
         count = rng.randint(1, 12)
-        merge, passed = events.Merge(), b""
+        merge, passed = events.EventMerge(), b""
         while merge.count < count:
             merge.begin()
             first = (merge.last_id or 0) + 1
@@ -103,7 +103,7 @@
         context.results.append((count, passed))
 
 
-@then("each event is passed on once, whole and in order")
+@then("each event is forwarded once, complete and in order")
 def step_once(context: Any) -> None:
     for count, passed in context.results:
         whole = b"".join(make_event(i) for i in range(1, count + 1))
@@ -117,7 +117,7 @@
 class Script:
     """What one attempt does."""
 
-    pieces: list[bytes | forward.Lost | str]
+    pieces: list[bytes | forward.AttemptFailure | str]
     status: int = 200
     content_type: str = ""
 
@@ -132,7 +132,7 @@
     closed: threading.Event = attrs.Factory(threading.Event)
     deadline_s: float = 0.0
 
-    def read_some(self) -> bytes | forward.Lost:
+    def read_some(self) -> bytes | forward.AttemptFailure:
         """Returns the next piece; waits where the script says so."""
         if not self.script.pieces:
             return b""
@@ -140,7 +140,9 @@
         if piece == "silence":
             left_s = max(0.0, self.deadline_s - time.monotonic())
             self.closed.wait(min(left_s, 5.0))
-            return forward.Lost(jobs.FailureKind.CUT, "closed or silent")
+            return forward.AttemptFailure(
+                jobs.FailureKind.CUT, "closed or silent"
+            )
         assert not isinstance(piece, str)
         return piece
 
@@ -155,7 +157,7 @@
 
 @attrs.define
 class FakeUpstreams:
-    """Attempts by script; see `forward.Upstreams`."""
+    """Attempts by script; see `forward.AttemptSender`."""
 
     scripts: list[Script] = attrs.Factory(list)
     starts: list[jobs.Start] = attrs.Factory(list)
@@ -168,8 +170,8 @@
         job: jobs.Job,
         start: jobs.Start,
         resume_after: str,
-        abort: forward.Abort,
-    ) -> FakeAnswer | forward.Lost:
+        abort: forward.AbortHandle,
+    ) -> FakeAnswer | forward.AttemptFailure:
         """Begins the next attempt."""
         self.starts.append(start)
         self.afters.append(resume_after)
@@ -180,7 +182,7 @@
         answer = FakeAnswer(script, script.status, headers)
         answer.deadline_s = job.deadline_s
         self.answers.append(answer)
-        abort.arm(answer.abort)
+        abort.set_closer(answer.abort)
         return answer
 
 
@@ -188,12 +190,12 @@
 class FakeEngines:
     """Reports by script; see `watch.Engines`."""
 
-    # Address of a stage that holds work up; "dark" if the engine is.
+    # Address of a stalled stage; "dark" if the engine does not respond.
     stalled: str = ""
-    # Addresses that answer no question.
+    # Addresses that answer no probe.
     dead: set[str] = attrs.Factory(set)
     moves: list[tuple[float, Sequence[paths.Part]]] = attrs.Factory(list)
-    # Addresses that were asked, as often as they were.
+    # Address of each report request or probe.
     asked: list[str] = attrs.Factory(list)
 
     def get_report(self, address: str) -> upstreams.EngineReport | str:
@@ -215,7 +217,7 @@
     def repath(
         self, address: str, request_id: str, parts: Sequence[paths.Part]
     ) -> str:
-        """Takes an order to go on over another path."""
+        """Records an order to reroute a request."""
         self.moves.append((time.monotonic(), parts))
         return ""
 
@@ -250,7 +252,7 @@
 @given("the {place} attempt is cut after events {numbers}")
 def step_cut(context: Any, place: str, numbers: str) -> None:
     pieces: list[Any] = [make_event(i) for i in parse_numbers(numbers)]
-    pieces.append(forward.Lost(jobs.FailureKind.CUT, "reset"))
+    pieces.append(forward.AttemptFailure(jobs.FailureKind.CUT, "reset"))
     context.play.sends.scripts.append(Script(pieces))
 
 
@@ -307,7 +309,7 @@
     play.watch.start()
 
 
-@given("a watch, and an engine that is dark after event 1")
+@given("a watch, and an engine that stops responding after event 1")
 def step_dark(context: Any) -> None:
     step_watch(context, "none")
     context.play.engines.stalled = "dark"
@@ -323,7 +325,7 @@
     upstreams.put_entry(context.broker.fleet.roster, twin, 0.0)
 
 
-def make_forward(context: Any, kind: str, live_s: float) -> forward.Forward:
+def make_forward(context: Any, kind: str, live_s: float) -> forward.Forwarder:
     """Returns a request that arrives now."""
     now_s = time.monotonic()
     job = attrs.evolve(
@@ -331,7 +333,7 @@
     )
     call = forward.Call("r", "POST", "/x/", {}, b"", "")
     play = context.play
-    return forward.Forward(call, job, play.desk, play.sends, play.watch)
+    return forward.Forwarder(call, job, play.desk, play.sends, play.watch)
 
 
 class Lines(logging.Handler):
@@ -395,13 +397,13 @@
     assert reason in matching[0][2], found
 
 
-@then("the engine of attempt 2 is not tried again for it")
+@then("the engine of attempt 2 gets no further attempt of the request")
 def step_not_again(context: Any) -> None:
     assert len(context.play.sends.starts) == 2, context.play.sends.starts
 
 
 class EagerDesk(desk.Desk):
-    """Starts each request at once, and so many times again as it fails."""
+    """Starts each request at once; allows a fixed number of attempts."""
 
     def __init__(self, attempts: int) -> None:
         self._left = attempts
@@ -417,7 +419,7 @@
         return self._decide()
 
     def tell(self, message: Any) -> None:
-        """Takes what needs no answer."""
+        """Ignores messages without a reply."""
 
     def _decide(self) -> desk.DecisionFuture:
         fut: desk.DecisionFuture = desk.DecisionFuture()
@@ -432,13 +434,13 @@
 
 
 def draw_script(rng: random.Random, after: int, count: int) -> Script:
-    """Draws an attempt that is asked to go on after an event."""
+    """Draws an attempt that is asked to resume after an event."""
     numbers = list(range(after + 1 - rng.choice((0, 0, 1, 2)), count + 1))
     numbers = [n for n in numbers if n > 0]
     whole = b"".join(make_event(n) for n in numbers)
     cut = whole[: rng.randint(0, len(whole))]
     gap = b"".join(make_event(n) for n in numbers if n != after + 2)
-    lost = forward.Lost(jobs.FailureKind.CUT, "reset")
+    lost = forward.AttemptFailure(jobs.FailureKind.CUT, "reset")
     drawn: list[Script] = [
         Script([whole], 200, "text/event-stream"),
         Script([cut, lost], 200, "text/event-stream"),
@@ -449,12 +451,12 @@
         Script([], 200, rng.choice(("", "text/event-stream"))),
         Script([whole], rng.choice((204, 302, 401, 404, 429, 500, 503))),
     ]
-    # The first attempt's answer is passed on as it is.
+    # A first attempt may not draw a plain answer, which is forwarded as it is.
     return rng.choice(drawn if after else drawn[:5])
 
 
 class DrawnUpstreams(FakeUpstreams):
-    """Attempts drawn as they are asked for."""
+    """Attempts drawn at random."""
 
     def __init__(self, rng: random.Random, count: int) -> None:
         super().__init__()
@@ -467,8 +469,8 @@
         job: jobs.Job,
         start: jobs.Start,
         resume_after: str,
-        abort: forward.Abort,
-    ) -> FakeAnswer | forward.Lost:
+        abort: forward.AbortHandle,
+    ) -> FakeAnswer | forward.AttemptFailure:
         """Begins an attempt of any kind."""
         after = int(resume_after or 0)
         self.scripts = [draw_script(self._rng, after, self._count)]
@@ -484,7 +486,7 @@
         job = fleets.make_job("r", now_s=time.monotonic())
         call = forward.Call("r", "POST", "/x/", {}, b"", "")
         sends = DrawnUpstreams(rng, count)
-        run = forward.Forward(call, job, EagerDesk(4), sends)
+        run = forward.Forwarder(call, job, EagerDesk(4), sends)
         written: list[bytes] = []
         res = run.begin()
         end = (
@@ -494,7 +496,7 @@
         context.results.append((seed, count, b"".join(written), end))
 
 
-@then("no answer looks whole that lacks an event")
+@then("no incomplete answer looks complete")
 def step_none_lacks(context: Any) -> None:
     wholes = 0
     for seed, count, written, end in context.results:
@@ -526,7 +528,7 @@
     thread = threading.Thread(target=run, args=(context, "streaming"))
     thread.start()
     time.sleep(seconds)
-    context.forward.leave()
+    context.forward.abandon()
     context.left_s = time.monotonic()
     thread.join(5.0)
     assert not thread.is_alive()
@@ -539,14 +541,14 @@
     assert (context.end is None) == (kind == "whole"), context.end
 
 
-@then("the second attempt was asked to go on after event {number:d}")
+@then("the second attempt was asked to resume after event {number:d}")
 def step_after(context: Any, number: int) -> None:
     assert context.play.sends.afters == ["", str(number)]
 
 
 @then("the caller gets the service's own {status:d} after {count:d} attempts")
 def step_own(context: Any, status: int, count: int) -> None:
-    assert isinstance(context.result, forward.Whole), context.result
+    assert isinstance(context.result, forward.CompleteAnswer), context.result
     assert context.result.status == status
     assert context.result.body == b"why"
     assert len(context.play.sends.starts) == count
@@ -574,7 +576,7 @@
     assert context.took_s <= seconds, context.took_s
 
 
-@then("the engine is told to go on over the twin within {seconds:g} s")
+@then("the engine is ordered to reroute over the twin within {seconds:g} s")
 def step_told(context: Any, seconds: float) -> None:
     moves = context.play.engines.moves
     stage.wait_until(lambda: moves, 5.0, "an order to move")
@@ -582,13 +584,13 @@
     # The engine is asked after 0.3 s of silence and at most 0.1 s more.
     assert at_s - context.began_s <= seconds, at_s - context.began_s
     assert [p.id for p in parts][:2] == ["a100-0", "a100-twin"], parts
-    context.forward.leave()
+    context.forward.abandon()
     # It must not outlive its scenario and write into the next one's context.
     context.thread.join(5.0)
     assert not context.thread.is_alive()
 
 
-@then("the first engine is given no more work")
+@then("the first engine gets no further attempts")
 def step_no_work(context: Any) -> None:
     starts = context.play.sends.starts
     assert [s.upstream.id for s in starts] == ["a100-0", "a100-twin"]
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -354,7 +354,7 @@
     passed = context.inbound.call.headers
     assert set(passed) == {"Host", "Attempt-Id", "X-Own", "Content-Type"}
     assert context.inbound.key == "k1"
-    assert context.inbound.patience_s == 2.5
+    assert context.inbound.caller_timeout_s == 2.5
 
 
 @then("the target and the body are as they were sent")
@@ -407,7 +407,7 @@
 def step_patience(context: Any, patience: float, asked: float) -> None:
     assert abs(context.route.caller_silence_s - patience) < 1e-9
     job = attrs.evolve(fleets.make_job("r"), route=context.route)
-    stream: Any = silence_steps.Stream(job, ("part",), heard_s=10.0)
+    stream: Any = silence_steps.Stream(job, ("part",), last_activity_s=10.0)
     assert not watch.is_silent(stream, 10.0 + asked - 0.01)
     assert watch.is_silent(stream, 10.0 + asked + 0.01)
 
--- a/tests/steps/relay_steps.py
+++ b/tests/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a relay with stubs for everything around it."""
+"""Steps on a relay whose dependencies are stubs, and on the pump."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 FIRST_S = 5.0
 BETWEEN_S = 2.0
 
-# An attempt that is over long before this was not ended for its silence.
+# An attempt that ends long before this was not ended for its silence.
 SILENCE_S = 30.0
 
 
@@ -45,7 +45,7 @@
         return self.arrive(requests.Arrival(failure.id, "w", "m"))
 
     def run(self, *args: Any) -> Any:
-        """As engine: a stream. As pump: remembers the bound and stops."""
+        """As engine, returns a stream; as pump, records the limit and stops."""
         if len(args) == 1:
             self.request = args[0].request
             return self
@@ -53,7 +53,7 @@
         raise StopIteration
 
     def read(self) -> Any:
-        """Gives the first tokens, or breaks without any."""
+        """Returns the first tokens, or breaks without any."""
         if self.sent < self.tokens:
             self.sent += 1
             return [engine.TokenEvent(self.request, 1, 0, "t", "u:0-4")]
@@ -77,16 +77,16 @@
     )
 
 
-@given("an attempt that has given {tokens:d} tokens")
+@given("an attempt that has delivered {tokens:d} tokens")
 def step_attempt(context: Any, tokens: int) -> None:
     context.stub = Stub(tokens=1)
     stub: Any = context.stub
-    tools = relay.Tools(stub, stub, stub, stub, FIRST_S)
+    tools = relay.RelayDependencies(stub, stub, stub, stub, FIRST_S)
     prompt = relay.Prompt("q", "w", "m", "text", 10)
     context.relay = relay.Relay(prompt, tools, lambda: False)
     assert context.relay.begin() == ["t"]
     if not tokens:
-        # A second attempt, which has given none yet.
+        # A second attempt, which has delivered no token.
         context.relay._open(make_grant("q"))
 
 
@@ -98,14 +98,14 @@
         pass
 
 
-@then("the bound on its silence is {bound:g} s")
+@then("its silence limit is {bound:g} s")
 def step_bound(context: Any, bound: float) -> None:
     assert context.stub.bound_s == bound, context.stub
 
 
 @attrs.define
 class BufferedStream:
-    """A stream that has come whole with its head, or comes later."""
+    """A stream that is completely buffered or arrives later."""
 
     sock: socket.socket
     is_buffered: bool
@@ -117,7 +117,7 @@
         """Nothing to do."""
 
     def has_buffered(self) -> bool:
-        """Answers as told."""
+        """Returns the value given to the constructor."""
         return self.is_buffered
 
     def read_ready(self) -> list[engine.Event]:
@@ -127,14 +127,14 @@
 
 
 class Ending:
-    """Wants no more after the first events; see `pump.Consumer`."""
+    """Stops after the first events; see `pump.Consumer`."""
 
-    def take(self, events: list[engine.Event]) -> bool:
-        """Takes the end."""
+    def handle_events(self, events: list[engine.Event]) -> bool:
+        """Ends the stream."""
         return False
 
 
-@given("a pump that was handed an answer which lay whole in its buffer")
+@given("a pump that has read an answer completely buffered beforehand")
 def step_buffered(context: Any) -> None:
     context.pump = pump.Pump()
     context.pump.start()
@@ -143,7 +143,7 @@
     assert context.pump.run(stream, Ending(), 2.0) is None
 
 
-@when("it is handed an answer that comes later")
+@when("it is handed an answer that arrives later")
 def step_later_answer(context: Any) -> None:
     context.ends[1].send(b"x")
     stream = BufferedStream(context.ends[0], False)
@@ -153,7 +153,7 @@
     context.thread.start()
 
 
-@then("that one is passed on as well")
+@then("that answer is forwarded as well")
 def step_passed_on(context: Any) -> None:
     context.thread.join(5.0)
     is_stuck = context.thread.is_alive()
@@ -193,7 +193,7 @@
 
 
 def read_request(conn: socket.socket) -> None:
-    """Reads a request to its end; its body may come by itself."""
+    """Reads a request; its body may arrive separately."""
     data = b""
     while b"\r\n\r\n" not in data:
         data += conn.recv(65536)
@@ -213,7 +213,7 @@
     may_end: threading.Event = attrs.Factory(threading.Event)
 
     def serve(self) -> None:
-        """Answers two requests that come over one connection."""
+        """Answers two requests on one connection."""
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         end = b"0\r\n\r\n"
         conn, _ = self.server.accept()
@@ -233,8 +233,8 @@
     def __init__(self) -> None:
         self.events: list[engine.Event] = []
 
-    def take(self, events: list[engine.Event]) -> bool:
-        """Wants more until the end has come."""
+    def handle_events(self, events: list[engine.Event]) -> bool:
+        """Reads until the end event."""
         self.events += events
         return isinstance(events[-1], engine.TokenEvent)
 
@@ -280,14 +280,14 @@
     context.thread.join(SILENCE_S / 2)
 
 
-@then("the attempt is over by it, and the caller has all tokens")
+@then("the attempt ends at once, and the caller has all tokens")
 def step_over(context: Any) -> None:
     assert len(context.taking.events) == 2, context.taking.events
     assert not context.thread.is_alive()
     assert isinstance(context.broken[0], engine.Broken), context.broken
 
 
-@then("the next answer of that engine is passed on")
+@then("the next answer of that engine is forwarded")
 def step_next_answer(context: Any) -> None:
     taking = Taking()
     stream = open_stream(context, "q2")
--- a/tests/steps/silence_steps.py
+++ b/tests/steps/silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps on finding the stage that holds up streams."""
+"""Steps on finding the stage that stalls streams."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
 @given('streams "{text}"')
 def step_streams(context: Any, text: str) -> None:
     context.heard = [
-        silence.Heard(tuple(p.split("+")), int(ms) / 1000, int(gap) / 1000)
+        silence.StreamActivity(
+            tuple(p.split("+")), int(ms) / 1000, int(gap) / 1000
+        )
         for p, ms, gap, count in _STREAMS.findall(text)
         for _ in range(int(count))
     ]
@@ -38,13 +40,13 @@
 
 @attrs.define(eq=False)
 class Stream:
-    """A running stream as the watch sees it; see `forward.Forward`."""
+    """A running stream as the watch sees it; see `forward.Forwarder`."""
 
     job: jobs.Job
     parts: Any
-    heard_s: float
+    last_activity_s: float
     has_begun: bool = True
-    usual_gap_s: float = 0.02
+    smoothed_gap_s: float = 0.02
     stalled: set[str] = attrs.Factory(set)
     is_ended: bool = False
 
@@ -80,7 +82,7 @@
                 parts[1], id="a100-twin", address="a100-twin:80"
             )
             parts = (parts[0], twin, *parts[2:])
-        # Those beside it have just had an event.
+        # The streams beside the stage have just had an event.
         late_s = 0.065 if i >= count else 0.0
         context.streams.append(Stream(job, parts, context.heard_s + late_s))
         context.play.watch.add(context.streams[-1])
@@ -101,7 +103,7 @@
     context.play.engines.dead = {e.address for e in entries}
 
 
-@given("the first engine answers no question")
+@given("the first engine answers no report request")
 def step_first_dark(context: Any) -> None:
     context.play.engines.stalled = "dark"
 
@@ -111,18 +113,18 @@
     assert sum(s.is_ended for s in context.streams) == count
 
 
-@when("the watch looks {late_ms:d} ms after the last events")
+@when("the watch checks its streams {late_ms:d} ms after the last events")
 def step_look(context: Any, late_ms: int) -> None:
     context.before = [s.parts for s in context.streams]
-    context.play.watch.look(context.heard_s + late_ms / 1000)
+    context.play.watch.check_streams(context.heard_s + late_ms / 1000)
 
 
-@when('other hosts tell that "{name}" is failing')
+@when('other hosts report "{name}" failing')
 def step_told(context: Any, name: str) -> None:
-    context.play.watch.hear({name})
+    context.play.watch.record_peer_suspects({name})
 
 
-@then("the {count:d} streams are moved or resumed, and the others are not")
+@then("the {count:d} streams are rerouted or resumed, and the others are not")
 def step_moved(context: Any, count: int) -> None:
     for stream in context.on:
         names = {p.id for p in stream.parts}
@@ -132,7 +134,7 @@
     assert not any(s.is_ended for s in context.beside)
 
 
-@then('the desk knows that "{name}" is down')
+@then('the desk marks "{name}" as down')
 def step_down(context: Any, name: str) -> None:
     stage.wait_until(
         lambda: context.play.desk.query(
@@ -143,7 +145,7 @@
     )
 
 
-@then("no stream is moved")
+@then("no stream is rerouted")
 def step_not_moved(context: Any) -> None:
     assert [s.parts for s in context.streams] == context.before
     assert not any(s.is_ended for s in context.streams)
@@ -156,10 +158,10 @@
         context.play.desk.note_signals(name, signals.Signals(per_s))
 
 
-@when("the watch looks each {step_ms:d} ms for {seconds:d} s")
+@when("the watch checks its streams every {step_ms:d} ms for {seconds:d} s")
 def step_look_on(context: Any, step_ms: int, seconds: int) -> None:
     for i in range(1, 1000 * seconds // step_ms):
-        context.play.watch.look(context.heard_s + i * step_ms / 1000)
+        context.play.watch.check_streams(context.heard_s + i * step_ms / 1000)
 
 
 @then("each of them is asked at most once, and others are asked")
@@ -170,13 +172,13 @@
     assert counts
 
 
-@given('"{one}" and "{other}" ask for {rest_s:g} s of rest')
-def step_rest(context: Any, one: str, other: str, rest_s: float) -> None:
+@given('"{one}" and "{other}" ask for a backoff of {backoff_s:g} s')
+def step_rest(context: Any, one: str, other: str, backoff_s: float) -> None:
     context.limited = (one, other)
     for name in context.limited:
-        answer = signals.Signals(backoff_s=rest_s)
+        answer = signals.Signals(backoff_s=backoff_s)
         context.play.desk.note_signals(name, answer)
-    # Taken once the desk answers what was asked after it.
+    # The desk has handled the messages once it answers a later call.
     context.play.desk.query(lambda state: None)
 
 
--- a/tests/steps/upstream_steps.py
+++ b/tests/steps/upstream_steps.py
@@ -70,16 +70,16 @@
         fleets.make_job("ID", "non_idempotent", now_s=now_s),
         deadline_s=now_s + LIVE_S,
     )
-    context.leaving = forward.Abort()
+    context.leaving = forward.AbortHandle()
     context.outcome_of = None
     context.backpressure = []
     answer = upstream.UpstreamClient(
         2.5, lambda upstream_id, answer: context.backpressure.append(answer)
     ).open(CALL, job, jobs.Start("ID", entry, parts), "", context.leaving)
     body = b""
-    while not isinstance(answer, forward.Lost):
+    while not isinstance(answer, forward.AttemptFailure):
         data = answer.read_some()
-        if isinstance(data, forward.Lost):
+        if isinstance(data, forward.AttemptFailure):
             answer.close()
             answer = data
             break
@@ -116,7 +116,7 @@
     context.began_s = time.monotonic()
     thread.start()
     time.sleep(seconds)
-    context.leaving.set()
+    context.leaving.abort_all()
     thread.join(5.0)
     context.took_s = time.monotonic() - context.began_s
 
