--- a/egretspur/platform/__init__.py
+++ b/egretspur/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter: everything that only translates between product and platform.
+"""Adapter between the product and the platform that it runs on.
 
-The platform's names stand in this folder alone. It decides nothing. Read
-`names` first, then `decode` and `store`.
+Only this folder knows the platform's names. It translates and makes no
+routing decisions. Read `names` first, then `decode` and `store`.
 """
--- a/egretspur/platform/decode.py
+++ b/egretspur/platform/decode.py
@@ -1,8 +1,8 @@
-"""What the operator and the upstreams write, decoded into product types.
+"""Decodes what operators and upstreams write into product types.
 
-Some names on the wire mislead; the comments say what they hold. Everything is
-checked here, since an entry may come from another writer; errors are
-`checks.FieldError`, under the wire's name of the field.
+Some names on the wire are misleading; comments say what these fields hold.
+Every field is validated here, since other programs may write entries too.
+Errors are `checks.FieldError` with the field's name on the wire.
 """
 
 from __future__ import annotations
@@ -21,22 +21,24 @@
 
 T = TypeVar("T")
 
-# States of an upstream that the platform names.
+# States of an upstream on the wire.
 _READY: Final = "ready"
 _DRAINING: Final = "draining"
 
-# Callers leave a stream that is silent for so long, so many objectives, or so
-# many times the longest pause that is still prompt, whichever is longest.
-_PATIENCE_S: Final = 2.0
-_PATIENCE_OBJECTIVES: Final = 4.0
-_PATIENCE_GAPS: Final = 8.0
+# Callers abandon a stream after a silence of this length, of this many latency
+# objectives, or of this many target gaps, whichever is longest.
+_MIN_CALLER_TIMEOUT_S: Final = 2.0
+_CALLER_TIMEOUT_OBJECTIVES: Final = 4.0
+_CALLER_TIMEOUT_GAPS: Final = 8.0
 
-# Prompt tokens read beside a step, where a configuration doesn't tell.
-_USUAL_CHUNK: Final = 512
+# Prompt tokens processed per step if the configuration does not set `chunk`.
+_DEFAULT_CHUNK_TOKENS: Final = 512
 
 
-def read_record(raw: bytes, decode: Callable[[Any], T]) -> T | feeds.Unreadable:
-    """Returns what a record of the store says, or why it can't be read."""
+def decode_record(
+    raw: bytes, decode: Callable[[Any], T]
+) -> T | feeds.Unreadable:
+    """Returns a decoded record of the store, or why it is unreadable."""
     try:
         return decode(codec.load_json(raw))
     except checks.FieldError as exc:
@@ -46,14 +48,14 @@
 
 
 def decode_upstream(name: str, value: Any) -> upstreams.Upstream:
-    """Returns an entry of the list of upstreams."""
+    """Decodes an entry of the list of upstreams."""
     if upstreams.START_MARK in name:
         raise checks.FieldError("name", f"holds {upstreams.START_MARK!r}")
     data = checks.Table(value)
     state = data.get_text("state")
     if state not in (_READY, _DRAINING):
         raise checks.FieldError("state", f"unknown: {state[:40]!r}")
-    # Not used; an entry without them is not an upstream's own.
+    # Unused, but required: upstreams write these fields in every entry.
     data.get_text("version")
     data.get_number("cold_left_ms")
     data.get_count("seq_no")
@@ -65,7 +67,7 @@
         data_centre=data.get_text("zone"),
         is_draining=state == _DRAINING,
         slots=data.get_count("slots"),
-        # Here the route's field of this name holds the accelerator.
+        # Holds the accelerator here; only in a route is it the route's kind.
         accelerator=data.get_text("route_kind", ""),
         layers=_decode_layers(data),
         name=name,
@@ -74,7 +76,7 @@
 
 
 def decode_report(value: Any) -> upstreams.EngineReport:
-    """Returns an engine's report."""
+    """Decodes an engine's report."""
     data = checks.Table(value)
     return upstreams.EngineReport(
         layers=_decode_layers(data),
@@ -92,7 +94,7 @@
 
 
 def _decode_born(data: checks.Table) -> int | None:
-    """Returns when the upstream started, in ms; None if it doesn't tell."""
+    """Returns the upstream's start time in ms; None if it is not given."""
     return data.get_count("born") if data.has("born") else None
 
 
@@ -108,39 +110,39 @@
 
 
 @attrs.frozen
-class _KnownRoute:
-    """A route of the version before, as it was written and as decoded."""
+class _CachedRoute:
+    """A route of the previous version, as written and as decoded."""
 
-    written: Any
+    raw: Any
     route: config.Route
 
 
 class ConfigDecoder:
-    """Decodes one version of the configuration after the other.
+    """Decodes successive versions of the configuration.
 
-    Most routes of a version are those of the one before it. Versions may come
-    several times a second, at every host, each with hundreds of routes.
+    Reuses routes that did not change since the previous version: every host
+    may receive several versions a second, each with hundreds of routes.
     """
 
     def __init__(self) -> None:
-        """Makes a decoder that has seen no version."""
-        # By name.
-        self._known: dict[str, _KnownRoute] = {}
+        """Makes a decoder with an empty route cache."""
+        # By name of the route.
+        self._cached_routes: dict[str, _CachedRoute] = {}
 
     def decode(self, value: Any) -> config.Configuration:
-        """Returns a configuration."""
-        known: dict[str, _KnownRoute] = {}
+        """Decodes a configuration."""
+        new_routes: dict[str, _CachedRoute] = {}
 
         def decode_route(data: checks.Table) -> config.Route:
             name = data.get_text("name")
-            before = self._known.get(name)
-            if before is None or before.written != data.values:
-                before = _KnownRoute(data.values, _decode_route(data))
-            known[name] = before
-            return before.route
+            cached = self._cached_routes.get(name)
+            if cached is None or cached.raw != data.values:
+                cached = _CachedRoute(data.values, _decode_route(data))
+            new_routes[name] = cached
+            return cached.route
 
         cfg = decode_config(value, decode_route)
-        self._known = known
+        self._cached_routes = new_routes
         return cfg
 
 
@@ -148,11 +150,11 @@
     value: Any,
     decode_route: Callable[[checks.Table], config.Route] | None = None,
 ) -> config.Configuration:
-    """Returns a configuration.
+    """Decodes a configuration.
 
     Args:
         value: As the operator wrote it.
-        decode_route: Decodes a route; by default anew.
+        decode_route: Decodes a route; by default without a cache.
     """
     read_route = decode_route or _decode_route
     data = checks.Table(value)
@@ -178,12 +180,12 @@
     keys: dict[str, config.Workspace] = {}
     for tenant in tenants:
         rank = tenant.get("priority", None)
-        found = config.Workspace(
+        workspace = config.Workspace(
             tenant.get_text("name"),
             None if rank is None else checks.check_count(rank, "priority"),
         )
         for key in tenant.get_list("api_keys"):
-            keys[checks.check_text(key, "api_keys")] = found
+            keys[checks.check_text(key, "api_keys")] = workspace
     return keys
 
 
@@ -212,9 +214,9 @@
         is_resumable=data.get_flag("resumable"),
         gap_s=gap_s,
         patience_s=max(
-            _PATIENCE_S,
-            _PATIENCE_OBJECTIVES * objective_s,
-            _PATIENCE_GAPS * gap_s,
+            _MIN_CALLER_TIMEOUT_S,
+            _CALLER_TIMEOUT_OBJECTIVES * objective_s,
+            _CALLER_TIMEOUT_GAPS * gap_s,
         ),
     )
 
@@ -250,11 +252,11 @@
         * model.get_number("pace", 1.0)
         / 1000,
         per_request_s=data.get_number("per_seq_ms") / 1000,
-        # Stated for a thousand tokens.
+        # Given in milliseconds per thousand tokens.
         per_token_s=data.get_number("context_per_k") / 1e6,
         read_tokens_per_s=data.get_number("read_per_s"),
         stride=data.get_count("stride", 1),
-        chunk_tokens=data.get_count("chunk", _USUAL_CHUNK),
+        chunk_tokens=data.get_count("chunk", _DEFAULT_CHUNK_TOKENS),
         usual_prompt=int(usual.get_number("prompt")),
         usual_answer=int(usual.get_number("answer")),
         load_s=model.get_number("load_s"),
@@ -275,27 +277,27 @@
     )
 
 
-def decode_ends(value: Any) -> quarantine.Ends:
-    """Returns the upstreams that ended under a request in quarantine."""
-    ends = datagrams.decode_crashes(checks.Table(value).get("ended"))
-    if not ends:
+def decode_quarantine_record(value: Any) -> quarantine.Ends:
+    """Returns the upstreams that crashed under a quarantined request."""
+    crashes = datagrams.decode_crashes(checks.Table(value).get("ended"))
+    if not crashes:
         raise checks.FieldError("ended", "empty")
-    return ends
+    return crashes
 
 
-def encode_ends(ends: quarantine.Ends) -> bytes:
-    """Returns a record of a request in quarantine."""
-    return orjson.dumps({"ended": dict(ends)})
+def encode_quarantine_record(crashes: quarantine.Ends) -> bytes:
+    """Encodes the record of a quarantined request."""
+    return orjson.dumps({"ended": dict(crashes)})
 
 
 @attrs.frozen
 class TokenCounts:
-    """Sizes of a request for a model, in tokens."""
+    """Sizes of a model request, in tokens."""
 
     prompt: int
-    # Most tokens it may answer with.
-    longest: int
-    # The caller's estimate; 0 if it gave none.
+    # Limit on the answer.
+    max_output: int
+    # The caller's estimate of the answer; 0 if it gave none.
     estimate: int
 
 
@@ -303,9 +305,9 @@
 
 
 def decode_tokens(usage: str, estimate: str) -> TokenCounts | None:
-    """Returns a request's token counts; None if it states none."""
+    """Returns a request's token counts; None if it has none."""
     counts = [int(n) for n in _NUMBER.findall(usage)]
     if len(counts) < 2:
         return None
-    guess = _NUMBER.findall(estimate)
-    return TokenCounts(counts[0], counts[1], int(guess[0]) if guess else 0)
+    found = _NUMBER.findall(estimate)
+    return TokenCounts(counts[0], counts[1], int(found[0]) if found else 0)
--- a/egretspur/platform/ingress.py
+++ b/egretspur/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests as the platform's balancer hands them on."""
+"""Decodes callers' requests as the platform's load balancer forwards them."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from egretspur.delivery import forward, intake
 from egretspur.platform import decode, names
 
-# Fields of one connection, the key, and what the product sets itself.
-_NOT_PASSED: Final = frozenset(
+# Header fields not forwarded to upstreams: hop-by-hop fields, the key, and
+# fields that the product sets itself.
+_DROPPED_HEADERS: Final = frozenset(
     n.title()
     for n in (
         *names.CONNECTION_FIELDS,
         "expect",
-        names.KEY,
+        names.API_KEY,
         names.DEADLINE,
         names.EXPECTED_UPSTREAM,
         names.WORKSPACE,
@@ -29,18 +30,18 @@
 
 
 def read_request(req: web.Request) -> intake.Inbound:
-    """Returns a request in the product's terms."""
+    """Decodes a caller's request."""
     fields = req.get_headers()
     target = req.get_target()
     tokens = decode.decode_tokens(
         fields.get(names.TOKENS, ""), fields.get(names.LENGTH_ESTIMATE, "")
     )
     call = forward.Call(
-        # One without an id can't be passed on; it is given one of its own.
+        # Upstreams require an id, so a request without one gets a new one.
         id=fields.get(names.REQUEST_ID) or uuid.uuid4().hex[:16],
         method=req.method,
         target=target,
-        headers={n: v for n, v in fields.items() if n not in _NOT_PASSED},
+        headers={n: v for n, v in fields.items() if n not in _DROPPED_HEADERS},
         body=req.read_body(),
         resume_after=fields.get(names.RESUME_AFTER, ""),
     )
@@ -48,10 +49,10 @@
         call=call,
         host=fields.get("Host", ""),
         path=target.partition("?")[0],
-        key=_read_key(fields.get(names.KEY, "")),
-        patience_s=_read_patience(fields.get(names.DEADLINE, "")),
+        key=_read_key(fields.get(names.API_KEY, "")),
+        patience_s=_read_timeout_s(fields.get(names.DEADLINE, "")),
         prompt=tokens.prompt if tokens else 0,
-        longest=tokens.longest if tokens else 0,
+        longest=tokens.max_output if tokens else 0,
         estimate=tokens.estimate if tokens else 0,
     )
 
@@ -62,5 +63,5 @@
     return ""
 
 
-def _read_patience(value: str) -> float | None:
+def _read_timeout_s(value: str) -> float | None:
     return int(value) / 1000 if value.isdigit() else None
--- a/egretspur/platform/names.py
+++ b/egretspur/platform/names.py
@@ -1,13 +1,13 @@
-"""Names that the platform uses on the wire and in its settings."""
+"""The platform's names on the wire and in its settings."""
 
 from __future__ import annotations
 
 from typing import Final
 
-# Variable with the path of the settings file.
+# Environment variable with the path of the settings file.
 SETTINGS_VARIABLE: Final = "EGRETSPUR_NODE_FILE"
 
-# Fields of one connection, in lower case; never passed on.
+# Hop-by-hop header fields, in lower case; never forwarded.
 CONNECTION_FIELDS: Final = frozenset(
     {
         "connection",
@@ -21,25 +21,28 @@
     }
 )
 
-# Header fields of a request.
+# Header fields of a caller's request.
 REQUEST_ID: Final = "Attempt-Id"
 RESUME_AFTER: Final = "Last-Event-Id"
 TOKENS: Final = "Token-Usage"
 LENGTH_ESTIMATE: Final = "Length-Hint"
 DEADLINE: Final = "Deadline-Ms"
-KEY: Final = "Authorization"
+API_KEY: Final = "Authorization"
 
-# Header fields that the product sets toward an upstream.
+# Header fields that the product sets on requests to upstreams.
 EXPECTED_UPSTREAM: Final = "Target-Replica"
 WORKSPACE: Final = "Tenant"
+# Holds the path of stages, not a count.
 PATH: Final = "Hop-Count"
 PRIORITY: Final = "Request-Priority"
 
-# Header fields of an upstream's answer.
-RECEIPT: Final = "Replica-Signature"
+# Header fields of an upstream's response.
+SIGNATURE: Final = "Replica-Signature"
+# Present if the request was not executed.
 NOT_RUN: Final = "Not-Executed"
-AT_FAULT: Final = "At-Server"
-# Requests a second that it takes from all hosts together.
+# Address of the stage at fault.
+FAULTY_ADDRESS: Final = "At-Server"
+# Requests per second that it accepts from all hosts together.
 LIMIT: Final = "Server-Limit"
 LEAVING: Final = "Server-Leaving"
 
@@ -47,17 +50,17 @@
 REPORT_PATH: Final = "/egretspur/report"
 ORDER_PATH: Final = "/egretspur/order"
 
-# The balancer's question.
+# The load balancer's readiness check, on a host.
 READY_PATH: Final = "/egretspur/readyz"
 
-# Header field of the store's answers; see `egretspur.catalog.positions`.
+# Header field of the store's responses; see `egretspur.catalog.positions`.
 STORE_ERA: Final = "Store-Era"
 
-# Topics and keys of the store.
+# Topics and keys in the store.
 CONFIG_TOPIC: Final = "keyed.op"
 CONFIG_KEY: Final = "config"
-SERVERS_TOPIC: Final = "keyed.servers"
-# The product's own: requests that are sent to no upstream any more.
+UPSTREAMS_TOPIC: Final = "keyed.servers"
+# The product's own topic: quarantined requests.
 QUARANTINE_TOPIC: Final = "keyed.quarantine"
-# The product's own: whoever holds its partition gives orders.
+# The product's own topic: the owner of its partition is the duty holder.
 DUTY_TOPIC: Final = "duty"
--- a/egretspur/platform/node.py
+++ b/egretspur/platform/node.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into the product's own settings."""
+"""Decodes the platform's settings file into the product's settings."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from egretspur import bounds
 from egretspur.platform import names
 
-# Used where the file leaves a field out.
+# For fields that the file omits.
 _DEFAULT_BOUNDS: Final = {
     "drain_ms": 2000,
     "grace_s": 8,
@@ -28,25 +28,25 @@
 
 @attrs.frozen(kw_only=True)
 class HostSettings:
-    """What a host's process is told at its start."""
+    """Settings of a host's process."""
 
     name: str
     ip: str
     data_centre: str
     data_centres: tuple[str, ...]
-    # No host of the installation has run before.
+    # No host of this installation has run before.
     is_first_start: bool = False
-    # Addresses for callers and for the balancer's question.
+    # Addresses for callers and for the load balancer's readiness checks.
     listen: str
     listen_ready: str
-    # Address for operators: metrics and the state dump.
+    # Address for operators: metrics and state dump.
     listen_control: str
-    # UDP port for the exchange between hosts, the same on all of them.
+    # UDP port for peer updates, the same on all hosts.
     exchange_port: int
-    # Addresses of a few hosts to begin with; may be stale.
+    # Addresses of a few hosts to contact first; may be stale.
     seeds: tuple[str, ...]
     store: str
-    # Shortest time to live of a group's member, in seconds.
+    # Shortest time to live of a membership in a store group, in seconds.
     min_ttl_s: float
     drain_s: float
     grace_s: float
@@ -57,14 +57,14 @@
 
 
 class SettingsError(ValueError):
-    """The settings file can't be read or lacks a field."""
+    """The settings file is unreadable, or a field is missing or wrong."""
 
 
 def load_settings() -> HostSettings:
-    """Reads the file that the environment names.
+    """Reads the settings file; the environment has its path.
 
     Raises:
-        SettingsError: Which field is wrong, or why it can't be read.
+        SettingsError: Names the wrong field or why the file is unreadable.
     """
     path = os.environ.get(names.SETTINGS_VARIABLE, "")
     try:
@@ -78,13 +78,13 @@
 
 
 class SettingsFile:
-    """The settings file, read again when it has changed."""
+    """Detects changes of the settings file."""
 
     def __init__(self) -> None:
         self._stamp = self._get_stamp()
 
     def is_changed(self) -> bool:
-        """Tells whether the file is another one since it was last asked."""
+        """Returns whether the file has changed since the previous call."""
         before, self._stamp = self._stamp, self._get_stamp()
         return before != self._stamp
 
@@ -97,7 +97,7 @@
 
 
 def decode_settings(data: dict[str, Any]) -> HostSettings:
-    """Returns the product's settings for the platform's."""
+    """Decodes the platform's settings."""
     limits = {**_DEFAULT_BOUNDS, **data.get("bounds", {})}
     store = data["platform"]
     return HostSettings(
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: topics, newest records, groups."""
+"""Client of the platform's store: topics, newest records and groups."""
 
 from __future__ import annotations
 
@@ -28,33 +28,32 @@
 
 T = TypeVar("T")
 
-# An answer takes 4 ms when all is well; the store may be fifty times slower
-# and is then still worth waiting for.
-CALL_S: Final = 1.0
-CONNECT_S: Final = 0.5
+# A call normally takes 4 ms; a store fifty times slower is still usable.
+CALL_TIMEOUT_S: Final = 1.0
+CONNECT_TIMEOUT_S: Final = 0.5
 
 _LENGTH: Final = struct.Struct(">I")
 _OFFSETS: Final = struct.Struct(">QQ")
 
 
 class Store:
-    """Calls to the store; shared by the feeds and the duty."""
+    """Calls the store; shared by the feeds and the duty."""
 
     def __init__(
         self,
         address: str,
-        note_call: Callable[[float], None] = lambda seconds: None,
+        record_call: Callable[[float], None] = lambda seconds: None,
     ) -> None:
         """Makes a client.
 
         Args:
             address: IP address and port.
-            note_call: Told how long each call took, in seconds.
+            record_call: Called with the duration of each call, in seconds.
         """
         self._address = address
-        self._note_call = note_call
-        self._transport = transport.Transport(CONNECT_S, CALL_S)
-        # When it last answered, on the monotonic clock.
+        self._record_call = record_call
+        self._transport = transport.Transport(CONNECT_TIMEOUT_S, CALL_TIMEOUT_S)
+        # Monotonic time of the store's last response.
         self.answered_s = time.monotonic()
         self.eras = positions.Eras()
 
@@ -63,28 +62,33 @@
         self._transport.close()
 
     def get(
-        self, path: str, query: Mapping[str, Any], read_s: float = CALL_S
+        self,
+        path: str,
+        query: Mapping[str, Any],
+        read_s: float = CALL_TIMEOUT_S,
     ) -> transport.Reply | feeds.Unavailable:
-        """Reads; any status but 200 and 410 counts as unavailable."""
+        """Sends a GET; any status but 200 and 410 counts as unavailable."""
         target = f"{path}?{urllib.parse.urlencode(query)}"
         return self._call("GET", target, None, read_s, (200, 410))
 
     def post(
         self, path: str, body: Mapping[str, Any]
     ) -> transport.Reply | feeds.Unavailable:
-        """Writes; 409 is an answer."""
-        return self._call("POST", path, orjson.dumps(body), CALL_S, (200, 409))
+        """Sends a POST; any status but 200 and 409 counts as unavailable."""
+        return self._call(
+            "POST", path, orjson.dumps(body), CALL_TIMEOUT_S, (200, 409)
+        )
 
     def put(self, topic: str, key: str, value: bytes) -> str:
         """Writes the newest record of a key.
 
         Args:
-            topic: Of keys.
-            key: Short enough for one byte of length.
+            topic: Name of a keyed topic.
+            key: At most 255 bytes, since its length is sent as one byte.
             value: Empty to remove the key.
 
         Returns:
-            Why it may not have been written; empty if it was.
+            Why the write may have failed; empty if it succeeded.
         """
         raw = key.encode()
         content = bytes([len(raw)]) + raw + value
@@ -93,7 +97,7 @@
             "POST",
             f"/egretspur/log-append?{query}",
             _LENGTH.pack(len(content)) + content,
-            CALL_S,
+            CALL_TIMEOUT_S,
             (200,),
         )
         return res.reason if isinstance(res, feeds.Unavailable) else ""
@@ -111,28 +115,28 @@
         res = self._transport.call(
             method, self._address, target, body, headers, read_s
         )
-        if read_s <= CALL_S:
-            self._note_call(time.monotonic() - began_s)
+        if read_s <= CALL_TIMEOUT_S:
+            self._record_call(time.monotonic() - began_s)
         if isinstance(res, transport.Failed):
-            # Whatever lost track of one connection may have lost the others.
+            # The pool's other connections may be dead for the same reason.
             self._transport.empty_pool(self._address)
             return feeds.Unavailable(res.reason)
         if res.status not in good:
             return feeds.Unavailable(f"{target}: status {res.status}")
         if self.eras.note(read_era(res)) is positions.Standing.OLDER:
-            return feeds.Unavailable(f"{target}: of before the store's copy")
+            return feeds.Unavailable(f"{target}: response of an older era")
         self.answered_s = time.monotonic()
         return res
 
 
 def read_era(res: transport.Reply) -> int:
-    """Returns the era of an answer of the store; 0 if it tells none."""
+    """Returns the era of a response of the store; 0 if it has none."""
     text = res.headers.get(names.STORE_ERA, "")
     return int(text) if text.isdecimal() else 0
 
 
 class Topic(Generic[T]):
-    """A topic whose newest records are followed; see `feeds.Source`."""
+    """Follows the newest records of a topic; see `feeds.Source`."""
 
     def __init__(
         self,
@@ -146,12 +150,12 @@
         """Makes a source.
 
         Args:
-            store: Where the topic is.
+            store: Store that holds the topic.
             topic: Its name; it has one partition.
-            decode_value: Returns the product's value for a key and its
-                decoded record; raises `codec.DecodeError`.
-            policy: What outlasts a copy of the store.
-            is_followed: Tells whether a key is of interest.
+            decode_value: Returns the product's value for a key and its record,
+                parsed from JSON; raises `codec.DecodeError`.
+            policy: What is kept when the store is restored from a copy.
+            is_followed: Returns whether a key is of interest.
             clock: Monotonic time, in seconds.
         """
         self._store = store
@@ -163,7 +167,11 @@
         self.table: tables.Table[T] = tables.Table(topic, policy, clock)
 
     def read_newest(self) -> feeds.Whole[T] | feeds.Unavailable:
-        """Reads all pages; changes made meanwhile are read again after."""
+        """Reads all pages.
+
+        The returned position is the first page's, so that changes made while
+        the other pages are read are read again.
+        """
         records: list[handover.Record] = []
         query: dict[str, Any] = {"topic": self._topic, "part": 0}
         at: positions.Position | None = None
@@ -180,10 +188,10 @@
             if at is None:
                 at = positions.Position(read_era(res), page.end)
             if read_era(res) != at.era:
-                return feeds.Unavailable("newest: copied between two pages")
+                return feeds.Unavailable("newest: era changed between pages")
             records += page.records
             if not page.has_more or not page.records:
-                return self._take_whole(records, at)
+                return self._replace_values(records, at)
             query["after"] = page.records[-1].key
 
     def read_changes(
@@ -196,7 +204,9 @@
             "source": since.offset,
             "wait_ms": int(wait_s * 1000),
         }
-        res = self._store.get("/egretspur/log-read", query, wait_s + CALL_S)
+        res = self._store.get(
+            "/egretspur/log-read", query, wait_s + CALL_TIMEOUT_S
+        )
         if isinstance(res, feeds.Unavailable):
             return res
         era = read_era(res)
@@ -204,7 +214,7 @@
             positions.compare_eras(since.era, era)
             is not positions.Standing.SAME
         ):
-            # Its records may stand at offsets that other ones had before.
+            # The new era may have other records at the same offsets.
             return feeds.Expired(is_copy=True)
         if res.status == 410:
             return feeds.Expired()
@@ -217,45 +227,54 @@
             for i, r in enumerate(raw)
         ]
         at = positions.Position(era, first + len(records))
-        return feeds.Changes(self.table.change(self._read(records), at), at)
+        return feeds.Changes(
+            self.table.change(self._decode_records(records), at), at
+        )
 
     def export(self, since: positions.Position | None) -> bytes | None:
-        """Returns what another host misses that has read up to a position."""
+        """Returns a snapshot for a host that has read up to a position."""
         return self.table.export(since)
 
     def read_snapshot(
         self, data: bytes
     ) -> feeds.Whole[T] | feeds.Changes[T] | feeds.Unavailable:
-        """Takes what another host exported."""
-        found = handover.unpack_snapshot(data, self._clock())
-        if isinstance(found, feeds.Unavailable):
-            return found
-        mine = self.table.get_position()
-        if mine is not None:
-            standing = positions.compare_eras(mine.era, found.next.era)
+        """Applies a snapshot that another host exported."""
+        snapshot = handover.unpack_snapshot(data, self._clock())
+        if isinstance(snapshot, feeds.Unavailable):
+            return snapshot
+        known = self.table.get_position()
+        if known is not None:
+            standing = positions.compare_eras(known.era, snapshot.next.era)
             if standing is positions.Standing.OLDER:
-                return feeds.Unavailable("snapshot of before the store's copy")
-        if found.is_whole:
-            return self._take_whole(found.records, found.next, found.told)
-        changes = self.table.change(self._read(found.records), found.next)
-        return feeds.Changes(changes, found.next, is_handed=True)
+                return feeds.Unavailable("snapshot of an older era")
+        if snapshot.is_whole:
+            return self._replace_values(
+                snapshot.records, snapshot.next, snapshot.told
+            )
+        changes = self.table.change(
+            self._decode_records(snapshot.records), snapshot.next
+        )
+        return feeds.Changes(changes, snapshot.next, is_handed=True)
 
-    def _take_whole(
+    def _replace_values(
         self,
         records: Sequence[handover.Record],
         at: positions.Position,
         told: handover.Told | None = None,
     ) -> feeds.Whole[T]:
-        """Keeps and decodes the newest records, in the order they came.
+        """Replaces the table's values by the newest records.
 
-        Of two entries that speak of one address, the later one counts.
+        Records are applied in the order of their offsets: if two entries have
+        the same address, the later one takes precedence.
         """
         ordered = sorted(records, key=lambda r: r.offset)
-        values = self.table.replace(self._read(ordered), at, told)
+        values = self.table.replace(self._decode_records(ordered), at, told)
         return feeds.Whole(values, at, is_handed=told is not None)
 
-    def _read(self, records: Sequence[handover.Record]) -> list[tables.Read[T]]:
-        """Decodes records of keys that are followed."""
+    def _decode_records(
+        self, records: Sequence[handover.Record]
+    ) -> list[tables.Read[T]]:
+        """Decodes the records of followed keys."""
         reads: list[tables.Read[T]] = []
         for record in records:
             if not self._is_followed(record.key):
@@ -263,15 +282,17 @@
             if not record.raw:
                 reads.append(tables.Read(record, None))
                 continue
-            value = self._read_value(record, self.table.get_value(record.key))
-            reads.append(tables.Read(_make_handed(record, value), value))
+            value = self._decode_record(
+                record, self.table.get_value(record.key)
+            )
+            reads.append(tables.Read(_limit_unreadable(record, value), value))
         return reads
 
-    def _read_value(
+    def _decode_record(
         self, record: handover.Record, before: T | feeds.Unreadable | None
     ) -> T | feeds.Unreadable:
-        """Returns what a record says; logs it if that can't be read."""
-        value = decode.read_record(
+        """Decodes a record; logs it if it has become unreadable."""
+        value = decode.decode_record(
             record.raw, lambda data: self._decode(record.key, data)
         )
         if isinstance(value, feeds.Unreadable) and value != before:
@@ -283,23 +304,26 @@
         return value
 
 
-# A record that can't be read is handed to other hosts up to this size, so
-# that they tell the same cause; in place of a larger one they are handed one
-# that they can't read either.
-_HANDED_BYTES: Final = 4096
-_UNREADABLE: Final = b"{}"
+# Unreadable records up to this size are passed to other hosts as they are, so
+# that these log the same cause. Larger ones are replaced by a placeholder that
+# is unreadable too.
+_MAX_UNREADABLE_BYTES: Final = 4096
+_UNREADABLE_PLACEHOLDER: Final = b"{}"
 
 
-def _make_handed(record: handover.Record, value: Any) -> handover.Record:
-    """Returns a record as other hosts are handed it."""
-    if isinstance(value, feeds.Unreadable) and len(record.raw) > _HANDED_BYTES:
-        return attrs.evolve(record, raw=_UNREADABLE)
+def _limit_unreadable(record: handover.Record, value: Any) -> handover.Record:
+    """Returns the record to pass to other hosts."""
+    if (
+        isinstance(value, feeds.Unreadable)
+        and len(record.raw) > _MAX_UNREADABLE_BYTES
+    ):
+        return attrs.evolve(record, raw=_UNREADABLE_PLACEHOLDER)
     return record
 
 
 @attrs.frozen
 class _Page:
-    """One answer to the question for the newest records."""
+    """One page of the newest records."""
 
     records: tuple[handover.Record, ...]
     end: int
@@ -326,7 +350,7 @@
 
 
 def parse_records(data: bytes, offset: int) -> tuple[int, list[bytes]]:
-    """Splits the answer to a read into its records.
+    """Splits the response to a read into its records.
 
     Returns:
         The offset of the first record, and the records.
@@ -348,13 +372,13 @@
 
 
 def split_keyed(record: bytes) -> tuple[str, bytes]:
-    """Returns key and value of a keyed record; no value drops the key."""
+    """Returns key and value of a keyed record; an empty value removes it."""
     end = 1 + record[0] if record else 0
     return record[1:end].decode("utf-8", "replace"), record[end:]
 
 
 def make_config_topic(store: Store) -> Topic[config.Configuration]:
-    """Returns the source of configurations."""
+    """Returns the topic of configurations."""
     decoder = decode.ConfigDecoder()
     return Topic(
         store,
@@ -370,16 +394,16 @@
     lapse_s: float,
     clock: Callable[[], float] = time.monotonic,
 ) -> Topic[upstreams.Upstream]:
-    """Returns the source of the list of upstreams.
+    """Returns the topic of the list of upstreams.
 
     Args:
-        store: Where the list is.
-        lapse_s: After which an entry that is not written again is gone.
+        store: Store that holds the list.
+        lapse_s: Seconds after which an entry expires unless written again.
         clock: Monotonic time, in seconds.
     """
     return Topic(
         store,
-        names.SERVERS_TOPIC,
+        names.UPSTREAMS_TOPIC,
         decode.decode_upstream,
         tables.Policy(upstreams.outlasts_copy, lapse_s),
         clock=clock,
@@ -387,36 +411,36 @@
 
 
 def make_quarantine_topic(store: Store) -> Topic[quarantine.Ends]:
-    """Returns the source of requests in quarantine."""
+    """Returns the topic of quarantined requests."""
     return Topic(
         store,
         names.QUARANTINE_TOPIC,
-        lambda key, data: decode.decode_ends(data),
+        lambda key, data: decode.decode_quarantine_record(data),
         tables.Policy(quarantine.has_more_ends),
     )
 
 
 def write_quarantine(
-    store: Store, fingerprint: str, ends: quarantine.Ends
+    store: Store, fingerprint: str, crashes: quarantine.Ends
 ) -> str:
-    """Writes a request in quarantine, or removes it if it has no ends.
+    """Writes a quarantined request, or removes it if it has no crashes.
 
     Returns:
-        Why it may not have been written; empty if it was.
+        Why the write may have failed; empty if it succeeded.
     """
-    value = decode.encode_ends(ends) if ends else b""
+    value = decode.encode_quarantine_record(crashes) if crashes else b""
     return store.put(names.QUARANTINE_TOPIC, fingerprint, value)
 
 
 class Group:
-    """One group of the store, in which a partition is a duty."""
+    """A group of the store; the owner of its partition has the duty."""
 
     def __init__(self, store: Store, group: str, member: str) -> None:
         self._store = store
         self._group = group
         self._member = member
         self._generation = 0
-        # Of the store when it told the generation.
+        # Era of the store that assigned the generation.
         self._era = 0
 
     def get_era(self) -> int:
@@ -424,10 +448,9 @@
         return self._store.eras.newest
 
     def join(self, ttl_s: float) -> duty.JoinReply | feeds.Unavailable:
-        """Joins, or stays; returns whether the duty is this member's."""
+        """Joins, or renews; returns whether this member has the duty."""
         if self._era != self.get_era():
-            # Generations go back with a copy of the store and are given out
-            # again.
+            # A restored store assigns earlier generations again.
             self._era = self.get_era()
             self._generation = 0
         res = self._store.post(
@@ -451,11 +474,11 @@
             rows = _read_rows(data.get_list("parts"), 2)
         except codec.DecodeError as exc:
             return feeds.Unavailable(f"join: {exc}")
-        holds = any(row[:2] == [names.DUTY_TOPIC, 0] for row in rows)
-        return duty.JoinReply(holds, self._generation, read_era(res))
+        is_held = any(row[:2] == [names.DUTY_TOPIC, 0] for row in rows)
+        return duty.JoinReply(is_held, self._generation, read_era(res))
 
     def list_members(self) -> tuple[str, ...] | feeds.Unavailable:
-        """Returns the members that hold partitions of the duty topic."""
+        """Returns the members that own partitions of the duty topic."""
         res = self._store.get("/egretspur/log-owners", {"group": self._group})
         if isinstance(res, feeds.Unavailable):
             return res
@@ -469,7 +492,7 @@
         return tuple(sorted({str(row[2]) for row in rows if row[2]}))
 
     def leave(self) -> None:
-        """Gives the duty up; if the call is lost, it lapses."""
+        """Gives up the duty; if the call is lost, its time to live ends it."""
         self._store.post(
             "/egretspur/log-leave",
             {"group": self._group, "member_id": self._member},
@@ -477,10 +500,10 @@
 
 
 def _read_rows(rows: Sequence[Any], length: int) -> list[list[Any]]:
-    """Returns rows that have at least so many fields.
+    """Returns rows, checked to have a minimum number of fields.
 
     Raises:
-        checks.FieldError: One has fewer.
+        checks.FieldError: A row is shorter.
     """
     found = [checks.check_list(row, "row") for row in rows]
     if any(len(row) < length for row in found):
--- a/egretspur/platform/upstream.py
+++ b/egretspur/platform/upstream.py
@@ -1,8 +1,7 @@
-"""Requests, reports and orders as upstreams of the platform take them.
+"""Clients of the platform's upstreams: requests, reports and orders.
 
-Every request goes over a connection of its own: upstreams may send bytes that
-belong to nobody after an answer, and a kept connection may have gone silent.
-Opening one takes a millisecond.
+Every request has a new connection, which takes a millisecond to open. A reused
+one may be dead, or hold stray bytes that an upstream sent after a response.
 """
 
 from __future__ import annotations
@@ -28,23 +27,23 @@
 _LOG: Final = logging.getLogger(__name__)
 
 # A connection within a region opens in a few milliseconds; one that takes
-# longer leads to a host that is dark.
-CONNECT_S: Final = 0.3
+# longer leads to a dead host.
+CONNECT_TIMEOUT_S: Final = 0.3
 
-# Unacknowledged bytes for so long mean that the other side is gone; without
-# it a write to a dark host would wait for minutes.
-UNACKNOWLEDGED_MS: Final = 2500
+# TCP closes a connection whose bytes stay unacknowledged for this time; without
+# it a write to a dead host would block for minutes.
+UNACKNOWLEDGED_TIMEOUT_MS: Final = 2500
 
-# An engine that lives answers a question for its report within 2 ms, 1 ms for
-# the connection included; a busy host takes some more to read it.
-PEEK_S: Final = 0.03
+# A live engine returns its report within 2 ms, 1 ms of them to connect; a busy
+# host needs more time to read it.
+PEEK_TIMEOUT_S: Final = 0.03
 
-_MAX_READ: Final = 65536
+_MAX_READ_BYTES: Final = 65536
 
-# Status of an answer by another upstream than the one that was meant.
-MISDIRECTED: Final = 421
+# Status of a response by another upstream than the intended one.
+MISDIRECTED_STATUS: Final = 421
 
-# Answers of these have no body.
+# Statuses of responses that have no body.
 _EMPTY_STATUSES: Final = (204, 304)
 
 
@@ -53,18 +52,18 @@
 
     def __init__(
         self,
-        silence_s: float,
+        idle_timeout_s: float,
         note_signals: signals.NoteSignals = lambda upstream_id, answer: None,
     ) -> None:
         """Makes a client.
 
         Args:
-            silence_s: Longest silence within a stream. Stages hold work that
-                depends on a dead one for a while and then say so; what is
-                longer is a silent connection.
-            note_signals: Told what the head of each answer asks of the hosts.
+            idle_timeout_s: Longest silence within a stream. Stages hold work
+                that depends on a dead stage for a limited time and then report
+                it; after a longer silence the connection is dead.
+            note_signals: Called with the signals in each response's head.
         """
-        self._silence_s = silence_s
+        self._idle_timeout_s = idle_timeout_s
         self._note_signals = note_signals
 
     def open(
@@ -75,17 +74,17 @@
         resume_after: str,
         abort: forward.Abort,
     ) -> UpstreamAnswer | forward.Lost:
-        """Sends a request and returns the beginning of its answer."""
+        """Sends a request and returns its response, body unread."""
         conn = _connect(start.upstream.address)
         if isinstance(conn, forward.Lost):
             return conn
-        handle = _Handle(conn)
+        handle = _AbortableConnection(conn)
         abort.arm(handle.abort)
         left_s = job.deadline_s - time.monotonic()
         headers = _make_headers(call, job, start, resume_after, left_s)
-        # The library applies this to its socket before it sends and again
-        # before it reads the head; a timeout set on the socket would be lost.
-        conn.timeout = max(0.01, min(left_s, _get_patience(start)))
+        # urllib3 sets this on its socket before it sends and again before it
+        # reads the head; a timeout set on the socket itself would be lost.
+        conn.timeout = max(0.01, min(left_s, _get_head_timeout_s(start)))
         try:
             conn.request(
                 call.method,
@@ -96,12 +95,12 @@
                 decode_content=False,
             )
             res = conn.getresponse()
-        except Exception as exc:  # the library's, the socket's, http.client's
+        except Exception as exc:  # of urllib3, the socket or http.client
             handle.close()
             return forward.Lost(
                 jobs.FailureKind.CUT, f"{start.upstream.id}: {exc!r}"
             )
-        if res.status != MISDIRECTED:
+        if res.status != MISDIRECTED_STATUS:
             self._note_signals(
                 start.upstream.id,
                 signals.read(
@@ -112,40 +111,40 @@
         if lost is not None:
             handle.close()
             return lost
-        return UpstreamAnswer(res, handle, job.deadline_s, self._silence_s)
+        return UpstreamAnswer(res, handle, job.deadline_s, self._idle_timeout_s)
 
 
-class _Handle:
+class _AbortableConnection:
     """A connection that one thread reads and any thread may abort."""
 
     def __init__(self, conn: urllib3.connection.HTTPConnection) -> None:
         self._conn = conn
-        # Kept besides: the library forgets it once the answer's head is read.
+        # Kept here since urllib3 drops it once the response's head is read.
         self._sock: socket.socket = conn.sock
         self._lock = threading.Lock()
         self._is_closed = False
 
     def set_timeout(self, seconds: float) -> None:
-        """Sets the longest wait of one read or write."""
+        """Sets the timeout of a single read or write."""
         try:
             self._sock.settimeout(seconds)
         except OSError:
-            # An answer without a length ends with its connection; the library
-            # has closed it then, and the next read gives the end.
-            _LOG.debug("connection has ended")
+            # A response without a length ends with its connection, which
+            # urllib3 has closed by then; the next read returns the end.
+            _LOG.debug("timeout not set: the connection is closed")
 
     def abort(self) -> None:
-        """Ends the connection and wakes the thread that reads from it."""
+        """Shuts the connection down and wakes the thread that reads it."""
         with self._lock:
             if self._is_closed:
                 return
             try:
                 self._sock.shutdown(socket.SHUT_RDWR)
             except OSError:
-                _LOG.debug("connection was closed by the other side")
+                _LOG.debug("connection already closed by the upstream")
 
     def close(self) -> None:
-        """Closes the connection; only the thread that reads may do so."""
+        """Closes the connection; to be called by the reading thread only."""
         with self._lock:
             self._is_closed = True
             self._conn.close()
@@ -153,21 +152,21 @@
 
 
 class UpstreamAnswer:
-    """An answer under way; see `forward.Answer`."""
+    """A response whose body is being read; see `forward.Answer`."""
 
     def __init__(
         self,
         res: urllib3.BaseHTTPResponse,
-        handle: _Handle,
+        handle: _AbortableConnection,
         deadline_s: float,
-        silence_s: float,
+        idle_timeout_s: float,
     ) -> None:
         self._res = res
-        self._silence_s = silence_s
+        self._idle_timeout_s = idle_timeout_s
         self._handle = handle
         self._deadline_s = deadline_s
-        # Bytes came, or none need come. A body that nothing announces and that
-        # is empty looks like a head that was cut.
+        # Whether the end of the connection is a valid end of the body. It is
+        # not while an unannounced body is empty: the head may be truncated.
         self._may_end = (
             res.status in _EMPTY_STATUSES
             or "Content-Length" in res.headers
@@ -181,24 +180,24 @@
         }
 
     def read_some(self) -> bytes | forward.Lost:
-        """Returns the next bytes; empty at the end of a whole body."""
+        """Returns the next bytes; empty at the end of a complete body."""
         left_s = self._deadline_s - time.monotonic()
-        self._handle.set_timeout(max(0.01, min(left_s, self._silence_s)))
+        self._handle.set_timeout(max(0.01, min(left_s, self._idle_timeout_s)))
         try:
-            data = self._res.read1(_MAX_READ)
-        except Exception as exc:  # the library's, the socket's, http.client's
+            data = self._res.read1(_MAX_READ_BYTES)
+        except Exception as exc:  # of urllib3, the socket or http.client
             return forward.Lost(jobs.FailureKind.CUT, repr(exc))
         if not data and not self._may_end:
-            return forward.Lost(jobs.FailureKind.CUT, "closed before its body")
+            return forward.Lost(jobs.FailureKind.CUT, "closed before the body")
         self._may_end = True
         return data
 
     def abort(self) -> None:
-        """Ends the connection and wakes whoever reads; from any thread."""
+        """Shuts the connection down and wakes its reader; from any thread."""
         self._handle.abort()
 
     def close(self) -> None:
-        """Closes the connection; the upstream then stops its work."""
+        """Closes the connection, so that the upstream stops its work."""
         self._handle.close()
         self._res.close()
 
@@ -210,13 +209,13 @@
     conn = urllib3.connection.HTTPConnection(
         host,
         int(port),
-        timeout=CONNECT_S,
+        timeout=CONNECT_TIMEOUT_S,
         socket_options=[
             (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
             (
                 socket.IPPROTO_TCP,
                 socket.TCP_USER_TIMEOUT,
-                UNACKNOWLEDGED_MS,
+                UNACKNOWLEDGED_TIMEOUT_MS,
             ),
         ],
     )
@@ -228,9 +227,9 @@
     return conn
 
 
-def _get_patience(start: jobs.Start) -> float:
-    """Returns how long the answer's head may take, in seconds."""
-    # A model's answer begins with its first token, which may wait for a
+def _get_head_timeout_s(start: jobs.Start) -> float:
+    """Returns the timeout for the response's head, in seconds."""
+    # A model's response begins with its first token, which may wait for a
     # stalled stage and for other prompts.
     return 6.0 if start.parts else 30.0
 
@@ -257,73 +256,77 @@
 
 
 def format_path(parts: Sequence[paths.Part]) -> str:
-    """Returns a path as the header and the order spell it."""
+    """Encodes a path as the header and the order have it."""
     return ",".join(f"{p.address}={p.first}-{p.last}" for p in parts)
 
 
 def _check_head(
     call: forward.Call, start: jobs.Start, res: Any
 ) -> forward.Lost | None:
-    """Returns why an answer can't be passed on; None if it can."""
-    who = start.upstream.id
-    if res.status == MISDIRECTED:
-        blamed = _find_blamed(start, res) or (who,)
+    """Returns why a response can't be forwarded; None if it can."""
+    upstream_id = start.upstream.id
+    if res.status == MISDIRECTED_STATUS:
+        blamed = _find_faulty_stages(start, res) or (upstream_id,)
         return forward.Lost(
             jobs.FailureKind.MISDIRECTED,
-            f"{who}: another has the address",
+            f"{upstream_id}: another upstream has its address",
             blamed,
         )
     if res.headers.get(names.NOT_RUN):
         return forward.Lost(
             jobs.FailureKind.REFUSED,
-            f"{who}: refused with {res.status}",
-            _find_blamed(start, res),
+            f"{upstream_id}: refused with status {res.status}",
+            _find_faulty_stages(start, res),
         )
     if res.headers.get(names.REQUEST_ID) != call.id:
         return forward.Lost(
-            jobs.FailureKind.CUT, f"{who}: an answer of another request", (who,)
+            jobs.FailureKind.CUT,
+            f"{upstream_id}: response to another request",
+            (upstream_id,),
         )
-    if not res.headers.get(names.RECEIPT):
+    if not res.headers.get(names.SIGNATURE):
         return forward.Lost(
             jobs.FailureKind.FAILED,
-            f"{who}: status {res.status}, no receipt",
-            (who,),
+            f"{upstream_id}: status {res.status} without {names.SIGNATURE}",
+            (upstream_id,),
         )
     return None
 
 
-def _find_blamed(start: jobs.Start, res: Any) -> tuple[str, ...]:
-    """Returns the ids of the stages that an answer says are at fault."""
-    address = res.headers.get(names.AT_FAULT) or ""
+def _find_faulty_stages(start: jobs.Start, res: Any) -> tuple[str, ...]:
+    """Returns the ids of the stages that a response blames."""
+    address = res.headers.get(names.FAULTY_ADDRESS) or ""
     return tuple(p.id for p in start.parts if p.address == address)
 
 
 class EngineClient:
-    """Reports of engines and orders to them."""
+    """Gets engines' reports and sends orders to engines."""
 
     def __init__(self) -> None:
         self._transport = transport.Transport(0.3, 0.5)
-        self._quick = transport.Transport(PEEK_S, PEEK_S)
+        self._peek_transport = transport.Transport(
+            PEEK_TIMEOUT_S, PEEK_TIMEOUT_S
+        )
 
     def close(self) -> None:
         """Closes idle connections."""
         self._transport.close()
-        self._quick.close()
+        self._peek_transport.close()
 
     def get_report(self, address: str) -> upstreams.EngineReport | str:
-        """Returns an engine's report, or why there is none."""
-        _record_question(address, "report")
+        """Returns an engine's report, or why it failed."""
+        _log_control_call(address, "report")
         return self._get_report(self._transport, address)
 
     def peek(self, address: str) -> upstreams.EngineReport | str:
-        """Returns a report that comes at once, or why there is none.
+        """Returns a report within a short timeout, or why it failed.
 
-        On a connection of its own: a kept one that went silent would look
-        like an engine that died.
+        Uses a new connection: a pooled one that went silent would look like a
+        dead engine.
         """
-        _record_question(address, "peek")
-        self._quick.empty_pool(address)
-        return self._get_report(self._quick, address)
+        _log_control_call(address, "peek")
+        self._peek_transport.empty_pool(address)
+        return self._get_report(self._peek_transport, address)
 
     def _get_report(
         self, client: transport.Transport, address: str
@@ -339,12 +342,13 @@
             return f"{address}: {exc}"
 
     def is_alive(self, address: str, health_path: str) -> bool:
-        """Tells whether a plain service takes connections.
+        """Returns whether a plain service accepts connections.
 
-        One that is full or slow may answer late, and one that is leaving
-        refuses; the list and the requests themselves tell of those.
+        A late response or an error status counts as alive: a full or slow
+        service responds late, and a draining one refuses. The list of upstreams
+        and the requests themselves show those states.
         """
-        _record_question(address, "health")
+        _log_control_call(address, "health")
         res = self._transport.call("GET", address, health_path)
         return not isinstance(res, transport.Failed) or res.is_silent
 
@@ -354,7 +358,7 @@
         """Orders an engine to hold a range of layers.
 
         Returns:
-            Empty if the order was taken, else why not or that it is unknown.
+            Empty if the order was accepted, else why it failed or may have.
         """
         return self._order(
             address,
@@ -370,7 +374,7 @@
     def repath(
         self, address: str, request_id: str, parts: Sequence[paths.Part]
     ) -> str:
-        """Orders the first engine of a request to use another path."""
+        """Orders the first engine of a request to reroute it."""
         return self._order(
             address,
             {
@@ -381,7 +385,7 @@
         )
 
     def _order(self, address: str, order: Mapping[str, Any]) -> str:
-        _record_question(address, order["operation"])
+        _log_control_call(address, order["operation"])
         res = self._transport.call(
             "POST",
             address,
@@ -396,6 +400,6 @@
         return f"{address}: status {res.status}: {res.body[:200]!r}"
 
 
-def _record_question(address: str, question: str) -> None:
-    """Logs what is sent to an upstream beside callers' requests."""
+def _log_control_call(address: str, question: str) -> None:
+    """Logs a call to an upstream that is not a caller's request."""
     decisions.record(decisions.QuestionSent(address, question))
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -322,7 +322,9 @@
 def step_tokens(context: Any, tokens: str) -> None:
     found = context.tokens
     text = (
-        f"{found.prompt} {found.longest} {found.estimate}" if found else "none"
+        f"{found.prompt} {found.max_output} {found.estimate}"
+        if found
+        else "none"
     )
     assert text == tokens, text
 
