--- a/egretspur/clients/__init__.py
+++ b/egretspur/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the outside systems; the only modules that know wire forms."""
+"""Clients of external systems; only these modules know their wire formats."""
--- a/egretspur/clients/engine.py
+++ b/egretspur/clients/engine.py
@@ -1,18 +1,18 @@
 r"""Client of model engines: orders, status, and token streams.
 
-Assumed wire form (the only place that knows it)::
+Assumed wire format (known only to this module)::
 
     PUT  /holdings  {"fence": n, "holdings": [...], "priority": n}
-         -> 200, or 409 when the engine checks fencing numbers and n is old
+         -> 200, or 409 if the engine checks fencing numbers and n is old
     GET  /status    -> fields of `EngineStatus`
     POST /run       to the last stage of the route -> NDJSON events
     POST /cancel    {"request": id, "attempt": n}
 
-The last stage hands the prompt to the first, and stages pass activations on
-directly. Events are ``{"r": request, "a": attempt, "p": position, "t": text,
-"l": layers}``; the last is ``{"r", "a", "end": count, "load": n}``, or
-``{"r", "a", "error": kind}``. ``l`` is the trail of layers the token went
-through, written by the stages: ``u1:0-12>u2:12-32``.
+The last stage sends the prompt to the first, and stages send activations to
+each other directly. Events are ``{"r": request, "a": attempt, "p": position,
+"t": text, "l": layers}``; the last is ``{"r", "a", "end": count, "load": n}``
+or ``{"r", "a", "error": kind}``. ``l`` is the trail of layers that computed the
+token, written by the stages: ``u1:0-12>u2:12-32``.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 from egretspur.clients import fields
 from egretspur.intents import records
 
-_MAX_READ: Final = 65_536
+_MAX_READ_BYTES: Final = 65_536
 
-# Longest wait in seconds for the rest of an event that has begun to arrive.
-PART_S: Final = 0.25
+# Timeout for the rest of a partially received event.
+PARTIAL_EVENT_TIMEOUT_S: Final = 0.25
 
-# Bytes that end a chunk of a chunked response.
-CHUNK_END: Final = 2
+# Length of the line break that ends a chunk of a chunked response.
+CHUNK_END_BYTES: Final = 2
 
-# Kinds of `ErrorEvent` that mean more than a failure.
+# Kinds of `ErrorEvent` that callers treat differently from other failures.
 BUSY: Final = "busy"
 LEAVING: Final = "leaving"
 
@@ -56,9 +56,9 @@
 
 @attrs.frozen
 class Order:
-    """The whole wanted set of holdings; repeating it changes nothing."""
+    """The complete set of wanted holdings; idempotent."""
 
-    # Offset of the lease under which the order is given.
+    # Offset of the lease under which the order is sent.
     fence: int
     holdings: tuple[Holding, ...]
     # Priority of its loads at the weight store.
@@ -67,7 +67,7 @@
 
 @attrs.frozen
 class EngineStatus:
-    """What an engine says of itself."""
+    """An engine's report of itself."""
 
     name: str
     incarnation: str
@@ -77,14 +77,14 @@
     loading: tuple[Holding, ...]
     # Fencing number of the order in effect.
     fence: int
-    # Requests it works on.
+    # Requests in progress.
     running: int
     leaving: bool
 
 
 @attrs.frozen
 class Hop:
-    """One stage of a route as engines see it."""
+    """One stage of a route, as sent to engines."""
 
     upstream: str
     address: str
@@ -103,7 +103,7 @@
     version: str
     prompt: str
     # Tokens delivered by earlier attempts; the engine recomputes or imports
-    # their KV cache and goes on at this position.
+    # their KV cache and resumes after them.
     done: tuple[str, ...]
     max_tokens: int
     priority: int
@@ -127,21 +127,21 @@
 
     request: str
     attempt: int
-    # Tokens of the whole answer, those of earlier attempts included.
+    # Tokens of the whole answer, including those of earlier attempts.
     count: int
-    # Requests the last stage works on, to be counted as a load report.
+    # Requests in progress at the last stage, used as a load report.
     load: int
 
 
 @attrs.frozen
 class ErrorEvent:
-    """The engine gave up."""
+    """The engine failed or refused the attempt."""
 
     request: str
     attempt: int
     # `BUSY`, `LEAVING`, ``not_loaded``, ``stage`` or ``malformed``.
     kind: str
-    # Upstream at fault, if the engine can tell.
+    # Upstream at fault; empty if unknown.
     upstream: str
 
 
@@ -150,15 +150,15 @@
 
 @attrs.frozen
 class Broken:
-    """The stream ended without its explicit end, or fell silent."""
+    """The stream was not opened, ended without an end event, or timed out."""
 
     reason: str
     # False only if no engine can have started the attempt.
     maybe_started: bool
-    # True if the connection was refused or reset, which the last stage is to
-    # blame for; false if it fell silent, which any stage may have caused.
+    # True if the connection was refused or reset, so that the last stage is at
+    # fault; false if it timed out, which any stage may have caused.
     upstream_failed: bool = False
-    # The engine's own refusal, if it gave one.
+    # The engine's error event, if it refused the attempt with one.
     refusal: ErrorEvent | None = None
 
 
@@ -173,12 +173,12 @@
         note_signals: signals.NoteSignals = lambda upstream, answer: None,
     ) -> None:
         self._note_signals = note_signals
-        self._first_s = first_event_s
-        self._between_s = between_events_s
+        self._first_event_s = first_event_s
+        self._between_events_s = between_events_s
         self._transport = transport.Transport(connect_s, first_event_s)
 
     def put_holdings(self, address: str, order: Order) -> None | errors.Refusal:
-        """Gives an order; a conflict means a newer lease holder exists."""
+        """Sends an order; a conflict means that a newer lease exists."""
         res = self._transport.call(
             "PUT", address, "/holdings", codec.dump(order)
         )
@@ -195,7 +195,7 @@
         return None
 
     def get_status(self, address: str) -> EngineStatus | errors.Refusal:
-        """Reads back what an engine holds."""
+        """Returns an engine's status, with its current holdings."""
         res = self._transport.call("GET", address, "/status")
         if isinstance(res, transport.Failed):
             return errors.Refusal(errors.ErrorKind.UPSTREAM_FAILED, res.reason)
@@ -213,7 +213,7 @@
             "/run",
             codec.dump(call),
             {"Content-Type": "application/json"},
-            self._first_s,
+            self._first_event_s,
         )
         if isinstance(res, transport.Failed):
             return Broken(
@@ -222,18 +222,20 @@
         answer = fields.read(res.status, res.headers)
         self._note_signals(call.route[-1].upstream, answer)
         if res.status == 503:
-            # The engine's word that it has not taken the request.
+            # With this status the engine confirms that it did not start.
             return self._read_refusal(address, res)
         if res.status != 200:
             self._transport.discard(address, res)
             return Broken(f"{address}: status {res.status}", maybe_started=True)
-        return EventStream(res, address, self._transport, self._between_s)
+        return EventStream(
+            res, address, self._transport, self._between_events_s
+        )
 
     def _read_refusal(
         self, address: str, res: urllib3.BaseHTTPResponse
     ) -> Broken:
         try:
-            event = parse_event(res.read(_MAX_READ))
+            event = parse_event(res.read(_MAX_READ_BYTES))
         except (exceptions.HTTPError, OSError) as exc:
             self._transport.discard(address, res)
             return Broken(f"{address}: {exc}", maybe_started=False)
@@ -244,7 +246,10 @@
         )
 
     def cancel(self, address: str, request: str, attempt: int) -> None:
-        """Tells one stage to drop an attempt; failure is left to its bound."""
+        """Cancels an attempt at one stage.
+
+        A failure is ignored: the stage drops the attempt at its own time limit.
+        """
         body = codec.dump_json({"request": request, "attempt": attempt})
         self._transport.call("POST", address, "/cancel", body, read_s=1.0)
 
@@ -266,21 +271,21 @@
         self._res = res
         self._address = address
         self._transport = conns
-        self._rest = b""
+        self._partial_line = b""
         # Longest silence in seconds between two events.
         self.between_s = between_s
-        # True after an end or error event.
+        # Set after an end or error event.
         self.ended = False
-        # Why it broke after the events that were read last.
+        # Failure after the events that were last returned.
         self.broken: Broken | None = None
         buffer: Any = res._fp.fp  # type: ignore[attr-defined]
         self._buffer: io.BufferedReader = buffer
         self.sock: socket.socket = buffer.raw._sock
 
     def read(self) -> list[Event] | Broken:
-        """Returns the next events, waiting for them.
+        """Waits for the next events and returns them.
 
-        The wait is bounded: a connection that says nothing in time is broken.
+        A connection that is silent beyond its read timeout counts as failed.
         """
         events: list[Event] = []
         while not events:
@@ -293,9 +298,9 @@
     def read_ready(self) -> list[Event] | Broken:
         """Returns the events that have arrived, without waiting for more.
 
-        To be called when the socket is readable. A peer that stops in the
-        middle of an event is broken after `PART_S`; until then the caller,
-        who reads many streams, waits.
+        To be called when the socket is readable. If the peer stops in the
+        middle of an event, this blocks the caller, which reads many streams,
+        and fails after `PARTIAL_EVENT_TIMEOUT_S`.
         """
         events: list[Event] = []
         while not self.ended:
@@ -309,16 +314,16 @@
         return events
 
     def bound_reads(self) -> None:
-        """Sets the bound for the rest of an event that has begun."""
-        self.sock.settimeout(PART_S)
+        """Sets the read timeout for the rest of a partial event."""
+        self.sock.settimeout(PARTIAL_EVENT_TIMEOUT_S)
 
     def finish(self) -> None:
-        """Returns the connection for reuse after the explicit end."""
+        """Releases the connection for reuse after the end event."""
         try:
-            self.sock.settimeout(PART_S)
-            if self._rest or self._res.read(1):
-                # Bytes after the end belong to nobody; were the connection
-                # reused, they would stand before another request's answer.
+            self.sock.settimeout(PARTIAL_EVENT_TIMEOUT_S)
+            if self._partial_line or self._res.read(1):
+                # On a reused connection, stray bytes after the end would be
+                # read as the start of the next response.
                 self.discard()
                 return
         except (exceptions.HTTPError, OSError):
@@ -327,12 +332,12 @@
         self._res.release_conn()
 
     def discard(self) -> None:
-        """Closes the connection so that it is never reused."""
+        """Closes the connection, to prevent its reuse."""
         self._transport.discard(self._address, self._res)
 
     def _read_some(self) -> bytes | Broken:
         try:
-            data = self._res.read1(_MAX_READ)
+            data = self._res.read1(_MAX_READ_BYTES)
         except (exceptions.ReadTimeoutError, TimeoutError) as exc:
             return Broken(f"{self._address}: {exc}", maybe_started=True)
         except (exceptions.HTTPError, OSError, ValueError) as exc:
@@ -343,29 +348,30 @@
             )
         if not data:
             return Broken(
-                f"{self._address}: ended without its end", maybe_started=True
+                f"{self._address}: closed without end event",
+                maybe_started=True,
             )
         return data
 
     def has_buffered(self) -> bool:
-        """Tells whether bytes are there beyond those read.
+        """Returns whether received bytes are still unread.
 
         Bytes in the buffer don't make the socket readable again; without this
-        look they would lie there until the next event comes. The end of a
-        chunk, which is read together with the next one, does not count: to
-        read on for it alone would wait for that next one.
+        check they would stay unread until the next event arrives. The line
+        break that ends a chunk does not count: it is read together with the
+        next chunk, so that reading it alone would block until that arrives.
         """
         self.sock.settimeout(0)
         try:
-            return len(self._buffer.peek(1)) > CHUNK_END
+            return len(self._buffer.peek(1)) > CHUNK_END_BYTES
         except OSError:
             return True
         finally:
-            self.sock.settimeout(PART_S)
+            self.sock.settimeout(PARTIAL_EVENT_TIMEOUT_S)
 
     def _parse(self, data: bytes) -> list[Event]:
-        lines = (self._rest + data).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._partial_line + data).split(b"\n")
+        self._partial_line = lines.pop()
         events = [parse_event(line) for line in lines if line]
         if events and not isinstance(events[-1], TokenEvent):
             self.ended = True
@@ -373,7 +379,7 @@
 
 
 def parse_event(line: bytes) -> Event:
-    """Returns the event on one line; anything malformed is an error event."""
+    """Parses one line; anything malformed becomes an error event."""
     try:
         data = orjson.loads(line)
         if "t" in data:
@@ -390,7 +396,7 @@
 
 
 def format_trail(stages: tuple[records.Stage, ...] | tuple[Hop, ...]) -> str:
-    """Returns the trail a token must carry to count.
+    """Returns the trail of layers that a valid token carries.
 
     Example: ``u1:0-12>u2:12-32``.
     """
--- a/egretspur/clients/fields.py
+++ b/egretspur/clients/fields.py
@@ -1,7 +1,7 @@
-"""What engines and services ask of the hosts in their answers' fields.
+"""Signals to the hosts in the headers of engines' and services' responses.
 
-The only place that knows these fields of the product's own interface. Read
-next: `egretspur.signals`.
+Only this module knows these fields of the product's own interface. Read next:
+`egretspur.signals`.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 from egretspur import signals
 
-# Requests a second that the one who answers takes from all hosts together.
+# Requests per second that the upstream accepts from all hosts together.
 LIMIT: Final = "Server-Limit"
 
-# The one who answers leaves.
+# Set if the upstream is leaving.
 LEAVING: Final = "Server-Leaving"
 
 
 def read(status: int, fields: Mapping[str, str]) -> signals.Signals:
-    """Returns what an answer asks of the hosts.
+    """Returns the signals of a response.
 
     Args:
-        status: Of the answer.
-        fields: Its header fields, by names in any case.
+        status: Status of the response.
+        fields: Its header fields, by case-insensitive name.
     """
     return signals.read(status, fields, LIMIT, LEAVING)
--- a/egretspur/clients/hosts.py
+++ b/egretspur/clients/hosts.py
@@ -1,9 +1,9 @@
 """Client of the platform's list of live and leaving hosts.
 
-Assumed wire form: ``GET /hosts?data_centre=&since=`` gives the fields of
-`HostChanges`: what changed after version `since`, so that the bytes read grow
-with the changes and not with the hosts. The list lags; nothing is decided from
-it alone that a later look can't correct.
+Assumed wire format: ``GET /hosts?data_centre=&role=&since=`` returns the fields
+of `HostChanges`: the changes after version `since`, so that the bytes read grow
+with the changes and not with the hosts. The list lags, so only decisions that a
+later read can correct may depend on it alone.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
     service: str = ""
     accelerator: str = ""
     memory_bytes: int = 0
-    # Layers it computes per second, over all tokens of a batch.
+    # Layers computed per second, over all tokens of a batch.
     layers_per_s: float = 0.0
-    # Streams it batches at once.
+    # Streams batched at once.
     slots: int = 0
-    # Bytes per second of its link to other hosts.
+    # Capacity of its link to other hosts, in bytes per second.
     link_bytes_s: float = 0.0
     # Whether its engine refuses an order with an old fencing number.
     checks_fence: bool = False
@@ -56,11 +56,11 @@
 
 @attrs.frozen
 class HostChanges:
-    """The platform's answer."""
+    """Changes of the list of hosts since a version."""
 
-    # Version of the list; to be given as `since` next time.
+    # Version of the list, for `since` in the next read.
     version: int
-    # False if `since` is too old: `changed` then is the whole list.
+    # False if `since` is too old; `changed` is then the complete list.
     partial: bool
     changed: tuple[Host, ...]
     # Names no longer listed.
@@ -68,7 +68,7 @@
 
 
 class HostsClient:
-    """Reads the list."""
+    """Reads the list of hosts."""
 
     def __init__(self, address: str, timeout_s: float) -> None:
         self._address = address
@@ -77,12 +77,12 @@
     def read(
         self, data_centre: str = "", role: str = "", since: int = 0
     ) -> HostChanges | errors.Refusal:
-        """Returns what changed after a version.
+        """Returns the changes after a version.
 
         Args:
-            data_centre: Only hosts there; all if empty.
-            role: Only hosts of this role; all if empty.
-            since: Version already known; 0 for the whole list.
+            data_centre: Only hosts in this data centre; all if empty.
+            role: Only hosts with this role; all if empty.
+            since: Version already known; 0 for the complete list.
         """
         query = urllib.parse.urlencode(
             {"data_centre": data_centre, "role": role, "since": since}
@@ -107,7 +107,7 @@
 def apply_changes(
     known: dict[str, Host], changes: HostChanges
 ) -> dict[str, Host]:
-    """Returns the list after changes."""
+    """Returns the list with changes applied."""
     hosts = dict(known) if changes.partial else {}
     for host in changes.changed:
         hosts[host.name] = host
--- a/egretspur/clients/log.py
+++ b/egretspur/clients/log.py
@@ -1,8 +1,8 @@
 """Client of the platform's append-only log service.
 
-Assumed wire form (the only place that knows it)::
+Assumed wire format (known only to this module)::
 
-    POST /streams/<name>         {"records": [...]} -> {"offset": first given}
+    POST /streams/<name>         {"records": [...]} -> {"offset": first one's}
     GET  /streams/<name>?from=&limit=&wait_ms=
          -> {"first": n, "next": n, "head": n, "records": [[offset, {...}]]}
 """
@@ -17,10 +17,10 @@
 
 from egretspur import codec, errors, transport
 
-# Records asked for in one read.
-READ_LIMIT: Final = 500
+# Limit on the records of one read.
+MAX_READ_RECORDS: Final = 500
 
-# Added to a long poll's own wait before its connection counts as silent.
+# Added to a long poll's wait time to get its read timeout.
 POLL_GRACE_S: Final = 2.0
 
 
@@ -28,13 +28,13 @@
 class Slice:
     """Records read from a stream."""
 
-    # Offset of the oldest record kept.
+    # Offset of the oldest retained record.
     first: int
     # Offset after the last record returned.
     next: int
     # Offset after the newest record.
     head: int
-    # Offset and plain value of each record.
+    # Offset and JSON value of each record.
     records: tuple[tuple[int, Any], ...]
 
 
@@ -52,7 +52,7 @@
 
         Returns:
             The offset of the first; or a refusal, after which the records may
-            or may not stand in the log.
+            or may not be in the log.
         """
         body = codec.dump_json({"records": list(values)})
         res = self._transport.call(
@@ -66,16 +66,16 @@
     def read(
         self, stream: str, start: int, wait_s: float = 0.0
     ) -> Slice | errors.Refusal:
-        """Reads records from an offset on.
+        """Reads records, starting at an offset.
 
         Args:
             stream: Name of the stream.
-            start: First offset wanted.
-            wait_s: Longest wait for a record in seconds; a long poll has its
-                own bound on silence, past which its connection is replaced.
+            start: First offset to read.
+            wait_s: Longest wait for a record in seconds. A long poll has its
+                own read timeout, after which its connection is replaced.
         """
         path = (
-            f"/streams/{stream}?from={start}&limit={READ_LIMIT}"
+            f"/streams/{stream}?from={start}&limit={MAX_READ_RECORDS}"
             f"&wait_ms={int(wait_s * 1000)}"
         )
         read_s = wait_s + POLL_GRACE_S if wait_s else None
@@ -96,18 +96,18 @@
 
 
 def append_until(
-    append: Callable[[], int | errors.Refusal], deadline_s: float
+    append: Callable[[], int | errors.Refusal], timeout_s: float
 ) -> int | errors.Refusal:
-    """Repeats an append until it is answered or the time is over.
+    """Retries an append until it succeeds or the timeout expires.
 
-    Safe because records carry ids and the fold counts an id once: an append
-    whose answer was lost is simply sent again.
+    Retries are safe: records have ids, and readers apply each id only once, so
+    an append whose response was lost can be sent again.
 
     Args:
-        append: Sends the same records each time.
-        deadline_s: Seconds to keep trying.
+        append: Sends the same records on each call.
+        timeout_s: Time for all attempts, in seconds.
     """
-    end = time.monotonic() + deadline_s
+    end = time.monotonic() + timeout_s
     pause = 0.05
     while True:
         res = append()
--- a/egretspur/clients/service.py
+++ b/egretspur/clients/service.py
@@ -1,8 +1,8 @@
-"""Client of plain services: calls passed through as they are.
+"""Client of plain services; calls are forwarded unchanged.
 
-Assumed form: any HTTP service. A service that can tell the outcome of an id
-answers ``GET <outcome_path>`` with 200 and its answer, or 404 for an id that
-it has never seen.
+Any HTTP service will do. A service that can look up the outcome of a request
+id responds to ``GET <outcome_path>`` with 200 and the outcome, or with 404 for
+an id that it has never seen.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class ServiceCall:
-    """A caller's call."""
+    """A caller's request to a plain service."""
 
     method: str
     # Path and query after the service's name.
@@ -38,7 +38,7 @@
     def call(
         self, address: str, call: ServiceCall
     ) -> transport.Reply | transport.Failed:
-        """Sends a call once."""
+        """Sends a call, without retries."""
         return self._transport.call(
             call.method, address, call.path, call.body or None, call.headers
         )
@@ -46,9 +46,9 @@
     def get_outcome(
         self, address: str, path: str, request_id: str
     ) -> transport.Reply | transport.Failed:
-        """Asks for the outcome of an id, on a new connection.
+        """Queries the outcome of a request id, on a new connection.
 
-        The pooled ones may be as dead as the one whose answer was lost.
+        Pooled connections may be dead like the one that lost the response.
         """
         self._transport.empty_pool(address)
         quoted = urllib.parse.quote(request_id, safe="")
--- a/egretspur/clients/weights.py
+++ b/egretspur/clients/weights.py
@@ -1,7 +1,7 @@
-"""Client of the weight store: sizes of models and its rate.
+"""Client of the weight store: model sizes and the store's rate.
 
-Assumed wire form: ``GET /models/<model>`` gives the fields of `ModelSpec`.
-Engines fetch the weights themselves; the system only reads sizes, to plan.
+Assumed wire format: ``GET /models/<model>`` returns the fields of `ModelSpec`.
+Engines fetch the weights themselves; the system only reads sizes, for planning.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     layer_bytes: int
     # Bytes an adapter adds to each layer.
     adapter_layer_bytes: int
-    # Bytes that go from stage to stage for each token.
+    # Bytes sent from stage to stage for each token.
     activation_bytes: int
     versions: tuple[str, ...]
     adapters: tuple[str, ...]
-    # Bytes per second the store gives to all readers together.
+    # Bytes per second that the store sends to all readers together.
     store_bytes_s: float
 
 
@@ -38,7 +38,7 @@
         self._transport = transport.Transport(timeout_s, timeout_s)
 
     def read(self, model: str) -> ModelSpec | errors.Refusal:
-        """Returns a model's sizes, or why not."""
+        """Returns a model's sizes, or a refusal."""
         path = "/models/" + urllib.parse.quote(model, safe="")
         res = self._transport.call("GET", self._address, path)
         if isinstance(res, transport.Failed):
--- a/egretspur/intents/follower.py
+++ b/egretspur/intents/follower.py
@@ -168,7 +168,7 @@
                 lambda v=value: self._client.append(  # type: ignore[misc]
                     records.STREAM, [v]
                 ),
-                deadline_s=5.0,
+                timeout_s=5.0,
             )
             if isinstance(res, errors.Refusal):
                 _LOG.warning("checkpoint not written: %s", res.reason)
