--- a/egretspur/clients/engine.py
+++ b/egretspur/clients/engine.py
@@ -149,7 +149,7 @@
 
 
 @attrs.frozen
-class Broken:
+class StreamFailure:
     """The stream was not opened, ended without an end event, or timed out."""
 
     reason: str
@@ -204,7 +204,7 @@
         except codec.DecodeError as exc:
             return errors.Refusal(errors.ErrorKind.UPSTREAM_FAILED, str(exc))
 
-    def run(self, call: RunCall) -> EventStream | Broken:
+    def run(self, call: RunCall) -> EventStream | StreamFailure:
         """Starts an attempt at the last stage of its route."""
         address = call.route[-1].address
         res = self._transport.open(
@@ -216,7 +216,7 @@
             self._first_event_s,
         )
         if isinstance(res, transport.Failed):
-            return Broken(
+            return StreamFailure(
                 res.reason, res.maybe_sent, upstream_failed=not res.is_silent
             )
         answer = fields.read(res.status, res.headers)
@@ -226,22 +226,24 @@
             return self._read_refusal(address, res)
         if res.status != 200:
             self._transport.discard(address, res)
-            return Broken(f"{address}: status {res.status}", maybe_started=True)
+            return StreamFailure(
+                f"{address}: status {res.status}", maybe_started=True
+            )
         return EventStream(
             res, address, self._transport, self._between_events_s
         )
 
     def _read_refusal(
         self, address: str, res: urllib3.BaseHTTPResponse
-    ) -> Broken:
+    ) -> StreamFailure:
         try:
             event = parse_event(res.read(_MAX_READ_BYTES))
         except (exceptions.HTTPError, OSError) as exc:
             self._transport.discard(address, res)
-            return Broken(f"{address}: {exc}", maybe_started=False)
+            return StreamFailure(f"{address}: {exc}", maybe_started=False)
         res.release_conn()
         refusal = event if isinstance(event, ErrorEvent) else None
-        return Broken(
+        return StreamFailure(
             f"{address} refused", maybe_started=False, refusal=refusal
         )
 
@@ -266,23 +268,23 @@
         res: urllib3.BaseHTTPResponse,
         address: str,
         conns: transport.Transport,
-        between_s: float,
+        max_silence_s: float,
     ) -> None:
         self._res = res
         self._address = address
         self._transport = conns
         self._partial_line = b""
         # Longest silence in seconds between two events.
-        self.between_s = between_s
+        self.max_silence_s = max_silence_s
         # Set after an end or error event.
         self.ended = False
         # Failure after the events that were last returned.
-        self.broken: Broken | None = None
+        self.failure: StreamFailure | None = None
         buffer: Any = res._fp.fp  # type: ignore[attr-defined]
         self._buffer: io.BufferedReader = buffer
         self.sock: socket.socket = buffer.raw._sock
 
-    def read(self) -> list[Event] | Broken:
+    def read(self) -> list[Event] | StreamFailure:
         """Waits for the next events and returns them.
 
         A connection that is silent beyond its read timeout counts as failed.
@@ -290,12 +292,12 @@
         events: list[Event] = []
         while not events:
             data = self._read_some()
-            if isinstance(data, Broken):
+            if isinstance(data, StreamFailure):
                 return data
             events = self._parse(data)
         return events
 
-    def read_ready(self) -> list[Event] | Broken:
+    def read_ready(self) -> list[Event] | StreamFailure:
         """Returns the events that have arrived, without waiting for more.
 
         To be called when the socket is readable. If the peer stops in the
@@ -305,15 +307,15 @@
         events: list[Event] = []
         while not self.ended:
             data = self._read_some()
-            if isinstance(data, Broken):
-                self.broken = data
+            if isinstance(data, StreamFailure):
+                self.failure = data
                 return events or data
             events += self._parse(data)
             if not self.has_buffered():
                 break
         return events
 
-    def bound_reads(self) -> None:
+    def set_event_timeout(self) -> None:
         """Sets the read timeout for the rest of a partial event."""
         self.sock.settimeout(PARTIAL_EVENT_TIMEOUT_S)
 
@@ -335,19 +337,19 @@
         """Closes the connection, to prevent its reuse."""
         self._transport.discard(self._address, self._res)
 
-    def _read_some(self) -> bytes | Broken:
+    def _read_some(self) -> bytes | StreamFailure:
         try:
             data = self._res.read1(_MAX_READ_BYTES)
         except (exceptions.ReadTimeoutError, TimeoutError) as exc:
-            return Broken(f"{self._address}: {exc}", maybe_started=True)
+            return StreamFailure(f"{self._address}: {exc}", maybe_started=True)
         except (exceptions.HTTPError, OSError, ValueError) as exc:
-            return Broken(
+            return StreamFailure(
                 f"{self._address}: {exc}",
                 maybe_started=True,
                 upstream_failed=True,
             )
         if not data:
-            return Broken(
+            return StreamFailure(
                 f"{self._address}: closed without end event",
                 maybe_started=True,
             )
--- a/egretspur/delivery/pump.py
+++ b/egretspur/delivery/pump.py
@@ -45,9 +45,9 @@
     # Longest silence before the next event.
     bound_s: float
     done: threading.Event = attrs.Factory(threading.Event)
-    broken: engine.Broken | None = None
+    broken: engine.StreamFailure | None = None
 
-    def finish(self, broken: engine.Broken | None) -> None:
+    def finish(self, broken: engine.StreamFailure | None) -> None:
         """Wakes whoever handed it in."""
         self.broken = broken
         self.done.set()
@@ -82,7 +82,7 @@
 
     def run(
         self, stream: engine.EventStream, consumer: Consumer, first_s: float
-    ) -> engine.Broken | None:
+    ) -> engine.StreamFailure | None:
         """Passes a stream's events to its consumer until it is over.
 
         Args:
@@ -94,7 +94,7 @@
             Why the stream broke; None if the consumer wants no more.
         """
         entry = _Entry(stream, consumer, time.monotonic(), first_s)
-        stream.bound_reads()
+        stream.set_event_timeout()
         with self._lock:
             self._added.append(entry)
             if self._is_idle:
@@ -120,7 +120,7 @@
             if ready:
                 time.sleep(ROUND_S)
         for entry in list(self._entries):
-            self._end(entry, engine.Broken("the router stops", True))
+            self._end(entry, engine.StreamFailure("the router stops", True))
 
     def _take_added(self) -> None:
         """Begins to read what was added, until there is nothing more.
@@ -147,7 +147,9 @@
             except (KeyError, OSError, ValueError) as exc:
                 # One stream's trouble must not stop all the others.
                 _LOG.info("stream not watched", extra={"reason": repr(exc)})
-                entry.finish(engine.Broken(repr(exc), maybe_started=True))
+                entry.finish(
+                    engine.StreamFailure(repr(exc), maybe_started=True)
+                )
                 continue
             self._entries.add(entry)
             # Bytes may have been read into the buffer together with the
@@ -157,25 +159,27 @@
 
     def _read(self, entry: _Entry) -> None:
         events = entry.stream.read_ready()
-        if isinstance(events, engine.Broken):
+        if isinstance(events, engine.StreamFailure):
             self._end(entry, events)
             return
         entry.heard_s = time.monotonic()
-        entry.bound_s = entry.stream.between_s
+        entry.bound_s = entry.stream.max_silence_s
         try:
             wants_more = entry.consumer.take(events)
         except Exception as exc:
             # One stream's trouble must not stop all the others.
             _LOG.exception("consumer failed")
-            self._end(entry, engine.Broken(repr(exc), maybe_started=True))
+            self._end(
+                entry, engine.StreamFailure(repr(exc), maybe_started=True)
+            )
             return
         if not wants_more:
             self._end(entry, None)
         elif entry.stream.ended:
-            self._end(entry, engine.Broken("no end", maybe_started=True))
-        elif entry.stream.broken is not None:
+            self._end(entry, engine.StreamFailure("no end", maybe_started=True))
+        elif entry.stream.failure is not None:
             # At once: its connection may be used for another answer by now.
-            self._end(entry, entry.stream.broken)
+            self._end(entry, entry.stream.failure)
 
     def _end_silent(self, now_s: float) -> None:
         for entry in list(self._entries):
@@ -183,12 +187,12 @@
             if silence > entry.bound_s:
                 self._end(
                     entry,
-                    engine.Broken(
+                    engine.StreamFailure(
                         f"silent for {silence:.2f} s", maybe_started=True
                     ),
                 )
 
-    def _end(self, entry: _Entry, broken: engine.Broken | None) -> None:
+    def _end(self, entry: _Entry, broken: engine.StreamFailure | None) -> None:
         if entry not in self._entries:
             return
         self._entries.discard(entry)
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -205,7 +205,7 @@
         call = self._make_call(grant)
         self._grant = grant
         opened = self._tools.engines.run(call)
-        if isinstance(opened, engine.Broken):
+        if isinstance(opened, engine.StreamFailure):
             return self._end_broken(grant, opened)
         self._stream = opened
         self._marked_s = time.monotonic()
@@ -221,7 +221,7 @@
         assert stream is not None
         while not texts:
             events = stream.read()
-            if isinstance(events, engine.Broken):
+            if isinstance(events, engine.StreamFailure):
                 return self._end_broken(grant, events)
             fault = self._accept(events, texts)
             if fault is not None:
@@ -237,7 +237,7 @@
         assert grant is not None and stream is not None
         # The long bound is for the prefill; once this attempt has given a
         # token, a stage that falls silent must be noticed by the short one.
-        bound_s = stream.between_s
+        bound_s = stream.max_silence_s
         if len(self._merge.tokens) == self._first_position:
             bound_s = self._tools.first_event_s
         broken = self._tools.pump.run(stream, self, bound_s)
@@ -307,7 +307,7 @@
         self._marked_tokens = count
 
     def _end_broken(
-        self, grant: requests.Grant, broken: engine.Broken
+        self, grant: requests.Grant, broken: engine.StreamFailure
     ) -> requests.Failure:
         """Describes an attempt whose connection failed.
 
@@ -330,7 +330,7 @@
         )
 
     def _end_refused(
-        self, grant: requests.Grant, broken: engine.Broken
+        self, grant: requests.Grant, broken: engine.StreamFailure
     ) -> requests.Failure:
         self._grant = None
         refusal = broken.refusal
--- a/tests/steps/relay_steps.py
+++ b/tests/steps/relay_steps.py
@@ -29,7 +29,7 @@
     """Traffic, engines, canceller, pump and stream in one."""
 
     tokens: int
-    between_s: float = BETWEEN_S
+    max_silence_s: float = BETWEEN_S
     bound_s: float = 0.0
     sent: int = 0
     request: str = ""
@@ -57,7 +57,7 @@
         if self.sent < self.tokens:
             self.sent += 1
             return [engine.TokenEvent(self.request, 1, 0, "t", "u:0-4")]
-        return engine.Broken("reset", maybe_started=True)
+        return engine.StreamFailure("reset", maybe_started=True)
 
     def discard(self) -> None:
         """Does nothing."""
@@ -109,11 +109,11 @@
 
     sock: socket.socket
     is_buffered: bool
-    between_s: float = 2.0
+    max_silence_s: float = 2.0
     ended: bool = False
-    broken: engine.Broken | None = None
+    failure: engine.StreamFailure | None = None
 
-    def bound_reads(self) -> None:
+    def set_event_timeout(self) -> None:
         """Nothing to do."""
 
     def has_buffered(self) -> bool:
@@ -284,7 +284,7 @@
 def step_over(context: Any) -> None:
     assert len(context.taking.events) == 2, context.taking.events
     assert not context.thread.is_alive()
-    assert isinstance(context.broken[0], engine.Broken), context.broken
+    assert isinstance(context.broken[0], engine.StreamFailure), context.broken
 
 
 @then("the next answer of that engine is passed on")
