--- a/tests/platform/platform.feature
+++ b/tests/platform/platform.feature
@@ -1,13 +1,13 @@
-Feature: What the platform writes, in the product's terms
+Feature: Decoding of the platform's data into the product's terms
 
-  Scenario: The platform's names stay in its folder
-    Then no module outside the adapter holds one of the platform's names
+  Scenario: Only the adapter contains the platform's names
+    Then no module outside the adapter contains one of the platform's names
 
   Scenario: A configuration
     When the platform's example configuration is decoded
     Then its routes, services, limits and keys are in the product's terms
 
-  Scenario Outline: A configuration that is not as promised
+  Scenario Outline: A configuration that lacks a field
     When the example configuration without "<field>" is decoded
     Then the error names "<field>"
 
@@ -20,7 +20,7 @@
 
   Scenario Outline: An entry of the list of upstreams
     When the entry "<entry>" is decoded
-    Then it says "<state>" and holds "<layers>"
+    Then its state is "<state>" and its layers are "<layers>"
 
     Examples:
       | entry                                                     | state    | layers |
@@ -29,8 +29,8 @@
       | state=ready,layer_count={"source":20,"to":31,"version":1} | ready    | 20-31  |
       | state=ready,layer_count={"source":5,"to":5,"version":1}   | ready    | none   |
 
-  Scenario Outline: Records of a read
-    When a read answers with records "<records>" and <cut> bytes are cut off
+  Scenario Outline: Records in the response to a read
+    When a read returns records "<records>" and <cut> bytes are cut off
     Then "<read>" is read
 
     Examples:
@@ -41,26 +41,26 @@
       | ab,c    | 8   | cut short   |
 
   Scenario: A page of newest records
-    # Symptom: an upstream is missing for good. Cause: only the first page of
-    # the list is read.
+    # If only the first page of the list were read, upstreams on later pages
+    # would stay unknown.
     Given a store whose newest records come in pages of 2
     When 5 entries are read
-    Then all 5 are known and reading goes on from the first page's end
+    Then all 5 are known and the next read starts at the first page's end
 
-  Scenario: A record that can't be read
-    # Symptom: a host without any configuration. Cause: one bad record ends
-    # the whole read.
+  Scenario: An unreadable record
+    # If one bad record failed the whole read, a host would have no
+    # configuration.
     Given a store with a good record and a broken one
     When both are read
-    Then the good one is known and the broken one changes nothing
+    Then the good one is known and the broken one is unreadable
 
   Scenario: Versions of the configuration in quick succession
-    # Symptom: hosts are busy with reading while callers wait. Sequence: two
-    # dozen versions of 240 routes come within seconds, each with a few changes.
+    # Two dozen versions of 240 routes arrive within seconds, each with a few
+    # changes. If hosts decoded all routes of each, callers would have to wait.
     Given a configuration of 240 routes that was decoded
-    When versions come in which a route was changed, added, removed or renamed
+    When versions arrive with a route changed, added, removed or renamed
     Then each is decoded as if it were the first
-    And routes that stayed as they were are not decoded anew
+    And unchanged routes are not decoded again
 
   Scenario Outline: Settings of a host
     When settings without "<field>" are decoded
@@ -72,13 +72,13 @@
       | listen    |
       | platform  |
 
-  Scenario Outline: Times that follow from an installation's bounds and routes
-    # Symptom: a stream that is held up behind a dead stage is ended by the host
-    # before the platform does. Cause: times fixed for another installation.
-    When settings say stalls of <stall> ms and heartbeats of <beat> ms
-    And a route says an objective of <objective> ms and pauses of <gap> ms
-    Then a silent stream is read for <silence> s and entries lapse after <lapse> s
-    And its caller turns away after <patience> s, and is asked about after <asked> s
+  Scenario Outline: Timeouts derived from an installation's bounds and routes
+    # With timeouts of another installation, a host would end a stream that
+    # waits for a dead stage before the platform does.
+    When settings have stalls of <stall> ms and heartbeats of <beat> ms
+    And a route has an objective of <objective> ms and gaps of <gap> ms
+    Then a silent stream times out after <silence> s and entries expire after <lapse> s
+    And its caller gives up after <patience> s, and its stages are probed after <asked> s
 
     Examples:
       | stall | beat | objective | gap | silence | lapse | patience | asked |
@@ -87,12 +87,12 @@
       | 3000  | 800  | 900       | 300 | 3.5     | 2.8   | 3.6      | 0.3   |
       | 2000  | 1200 | 500       | 400 | 2.5     | 4.0   | 3.2      | 0.4   |
 
-  Scenario: Bounds that can't be
-    When settings say stalls of 0 ms and heartbeats of 1200 ms
+  Scenario: Invalid bounds
+    When settings have stalls of 0 ms and heartbeats of 1200 ms
     Then they are refused
 
   Scenario Outline: Sizes of a request
-    When a request says "<usage>" and "<estimate>"
+    When a request states "<usage>" and "<estimate>"
     Then its tokens are "<tokens>"
 
     Examples:
@@ -103,7 +103,7 @@
       |           | 40       | none         |
       | many,few  |          | none         |
 
-  Scenario: A request as the balancer hands it on
-    When a caller's request with key, deadline and path of its own is read
-    Then the key, the deadline and the path are not passed on
-    And the target and the body are as they were sent
+  Scenario: A request as the load balancer forwards it
+    When a caller's request with its own key, deadline and path is read
+    Then the key, the deadline and the path are not forwarded
+    And the target and the body are unchanged
--- a/tests/platform/upstream.feature
+++ b/tests/platform/upstream.feature
@@ -1,12 +1,12 @@
-Feature: Answers as upstreams may send them
+Feature: Responses of upstreams
 
-  Scenario Outline: A plain answer
-    # Symptom: a caller gets 500 though the service answered (an answer that
-    # ends with its connection), or half an answer that looks whole.
+  Scenario Outline: A response of a plain service
+    # Guards against a 500 for a valid response that ends with its connection,
+    # and against a truncated response that is taken as complete.
     When an upstream answers with "<bytes>" and then <end>
     Then it is taken as "<outcome>"
 
-    Examples: \n ends a line of the head, ID is the request's id
+    Examples: \n is a line break of the head, ID is the request's id
       | bytes                                                                     | end    | outcome       |
       | HTTP/1.1 200 OK\nAttempt-Id: ID\nReplica-Signature: s\nContent-Length: 2\n\nok | closes | 200 ok        |
       | HTTP/1.1 200 OK\nAttempt-Id: ID\nReplica-Signature: s\nConnection: close\nContent-Length: 2\n\nok | closes | 200 ok |
@@ -30,27 +30,28 @@
       |                                                                          | closes | cut           |
       |                                                                          | waits  | cut           |
 
-  Scenario: Nobody listens
+  Scenario: A port without listener
     When an upstream's port has no listener
     Then it is taken as "unreachable"
 
   Scenario: The stage that is at fault
     When an upstream answers with "HTTP/1.1 503 No\nNot-Executed: 1\nAt-Server: b:80\nContent-Length: 0\n\n" and then closes
     Then it is taken as "refused"
-    And stage "b" is to blame
+    And stage "b" is at fault
 
-  Scenario: What an upstream is sent
+  Scenario: The header fields of a request to an upstream
     When an upstream answers with "HTTP/1.1 200 OK\nAttempt-Id: ID\nReplica-Signature: s\nContent-Length: 2\n\nok" and then closes
-    Then it was sent the target as it came, its own id, the workspace and what time is left
+    Then it received the unchanged target, its own id, the workspace and the time left
 
-  Scenario: The caller leaves while the head is awaited
-    When an upstream that waits is left after 0.2 s
+  Scenario: The caller disconnects before the response's head
+    When the request to a silent upstream is aborted after 0.2 s
     Then it is taken as "cut" within 1 s
 
-  Scenario Outline: A limit that an answer names
-    # A value that is none ends the limit that held before, or bars everything.
+  Scenario Outline: A rate limit in a response
+    # An invalid value must neither end the limit in force nor block all
+    # requests.
     When an upstream answers with "HTTP/1.1 503 No\nNot-Executed: 1\n<fields>Content-Length: 0\n\n" and then closes
-    Then the hosts hear of a limit of "<limit>"
+    Then the hosts receive a limit of "<limit>"
 
     Examples:
       | fields                                   | limit      |
@@ -69,10 +70,10 @@
       | Server-Limit:\n                         | unreadable |
       |                                          | None       |
 
-  Scenario Outline: Rest and leaving in an answer
-    # What another upstream at the address asks for is taken for this one's.
+  Scenario Outline: Backoff and leaving in a response
+    # Signals of another upstream at the address must not count for this one.
     When an upstream answers with "HTTP/1.1 <head>\n<fields>Content-Length: 0\n\n" and then closes
-    Then the hosts hear of "<asked>"
+    Then the hosts receive "<asked>"
 
     Examples:
       | head                    | fields                               | asked        |
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -131,7 +131,7 @@
 }
 
 
-@then("no module outside the adapter holds one of the platform's names")
+@then("no module outside the adapter contains one of the platform's names")
 def step_names(context: Any) -> None:
     package = pathlib.Path(egretspur.__file__).parent
     words = re.compile("|".join(re.escape(n) for n in NAMES))
@@ -201,7 +201,7 @@
     context.entry = decode.decode_upstream("i-1", data)
 
 
-@then('it says "{state}" and holds "{layers}"')
+@then('its state is "{state}" and its layers are "{layers}"')
 def step_says(context: Any, state: str, layers: str) -> None:
     assert context.entry.is_draining == (state == "draining")
     held = context.entry.layers
@@ -209,8 +209,8 @@
     assert found == layers, found
 
 
-@when('a read answers with records "{records}" and {cut:d} bytes are cut off')
-@when('a read answers with records "" and {cut:d} bytes are cut off')
+@when('a read returns records "{records}" and {cut:d} bytes are cut off')
+@when('a read returns records "" and {cut:d} bytes are cut off')
 def step_records(context: Any, cut: int, records: str = "") -> None:
     data = struct.pack(">QQ", 9, 0)
     for text in records.split(",") if records else []:
@@ -283,7 +283,7 @@
     context.whole = topic.read_newest()
 
 
-@then("all 5 are known and reading goes on from the first page's end")
+@then("all 5 are known and the next read starts at the first page's end")
 def step_all(context: Any) -> None:
     assert isinstance(context.whole, feeds.Whole)
     assert context.whole.values == {f"k{i}": i + 1 for i in range(5)}
@@ -293,7 +293,7 @@
     assert after == [None, "k1", "k3"], after
 
 
-@then("the good one is known and the broken one changes nothing")
+@then("the good one is known and the broken one is unreadable")
 def step_good(context: Any) -> None:
     values = dict(context.whole.values)
     assert isinstance(values.pop("bad"), feeds.Unreadable), context.whole
@@ -311,9 +311,9 @@
         context.problem = repr(exc)
 
 
-@when('a request says "{usage}" and "{estimate}"')
-@when('a request says "{usage}" and ""')
-@when('a request says "" and "{estimate}"')
+@when('a request states "{usage}" and "{estimate}"')
+@when('a request states "{usage}" and ""')
+@when('a request states "" and "{estimate}"')
 def step_usage(context: Any, usage: str = "", estimate: str = "") -> None:
     context.tokens = decode.decode_tokens(usage, estimate)
 
@@ -329,7 +329,7 @@
     assert text == tokens, text
 
 
-@when("a caller's request with key, deadline and path of its own is read")
+@when("a caller's request with its own key, deadline and path is read")
 def step_request(context: Any) -> None:
     environ = {
         "REQUEST_METHOD": "POST",
@@ -351,7 +351,7 @@
     )
 
 
-@then("the key, the deadline and the path are not passed on")
+@then("the key, the deadline and the path are not forwarded")
 def step_not_passed(context: Any) -> None:
     passed = context.inbound.call.headers
     assert set(passed) == {"Host", "Attempt-Id", "X-Own", "Content-Type"}
@@ -359,7 +359,7 @@
     assert context.inbound.patience_s == 2.5
 
 
-@then("the target and the body are as they were sent")
+@then("the target and the body are unchanged")
 def step_as_sent(context: Any) -> None:
     call = context.inbound.call
     assert call.target == "/x/a%20b?q=1%2F2"
@@ -367,7 +367,7 @@
     assert call.body == b"body\x00\xff" and call.id == "9c41"
 
 
-@when("settings say stalls of {stall:d} ms and heartbeats of {beat:d} ms")
+@when("settings have stalls of {stall:d} ms and heartbeats of {beat:d} ms")
 def step_bounds(context: Any, stall: int, beat: int) -> None:
     data = {**SETTINGS, "heartbeat_ms": beat, "bounds": {"stall_ms": stall}}
     try:
@@ -381,7 +381,7 @@
     assert isinstance(context.bounds, ValueError), context.bounds
 
 
-@when("a route says an objective of {objective:d} ms and pauses of {gap:d} ms")
+@when("a route has an objective of {objective:d} ms and gaps of {gap:d} ms")
 def step_route_times(context: Any, objective: int, gap: int) -> None:
     example: dict[str, Any] = EXAMPLE
     route = {
@@ -394,7 +394,7 @@
 
 
 @then(
-    "a silent stream is read for {silence:g} s and entries lapse after"
+    "a silent stream times out after {silence:g} s and entries expire after"
     " {lapse:g} s"
 )
 def step_bounds_times(context: Any, silence: float, lapse: float) -> None:
@@ -403,7 +403,7 @@
 
 
 @then(
-    "its caller turns away after {patience:g} s, and is asked about after"
+    "its caller gives up after {patience:g} s, and its stages are probed after"
     " {asked:g} s"
 )
 def step_patience(context: Any, patience: float, asked: float) -> None:
@@ -432,7 +432,7 @@
     )
 
 
-@when("versions come in which a route was changed, added, removed or renamed")
+@when("versions arrive with a route changed, added, removed or renamed")
 def step_versions_come(context: Any) -> None:
     routes = context.routes
     versions = [
@@ -461,7 +461,7 @@
         assert found == anew, found.version
 
 
-@then("routes that stayed as they were are not decoded anew")
+@then("unchanged routes are not decoded again")
 def step_kept_routes(context: Any) -> None:
     known = {id(r) for r in context.first.routes}
     for _, found in context.pairs:
--- a/tests/steps/upstream_steps.py
+++ b/tests/steps/upstream_steps.py
@@ -108,7 +108,7 @@
     send(context, f"127.0.0.1:{port}")
 
 
-@when("an upstream that waits is left after {seconds:g} s")
+@when("the request to a silent upstream is aborted after {seconds:g} s")
 def step_left(context: Any, seconds: float) -> None:
     context.play = Listener(b"", "waits")
     address = context.play.start()
@@ -132,14 +132,14 @@
     assert context.took_s < seconds, context.took_s
 
 
-@then('stage "{name}" is to blame')
+@then('stage "{name}" is at fault')
 def step_blame(context: Any, name: str) -> None:
     assert context.lost.blamed == (name,), context.lost
 
 
 @then(
-    "it was sent the target as it came, its own id, the workspace and what"
-    " time is left"
+    "it received the unchanged target, its own id, the workspace and the time"
+    " left"
 )
 def step_sent(context: Any) -> None:
     lines = context.play.received.decode().split("\r\n")
@@ -151,7 +151,7 @@
     assert 0 < int(fields["Deadline-Ms"]) <= LIVE_S * 1000
 
 
-@then('the hosts hear of a limit of "{limit}"')
+@then('the hosts receive a limit of "{limit}"')
 def step_limit(context: Any, limit: str) -> None:
     (answer,) = context.backpressure
     if limit == "unreadable":
@@ -160,7 +160,7 @@
     assert str(answer.per_s) == limit, answer
 
 
-@then('the hosts hear of "{what}"')
+@then('the hosts receive "{what}"')
 def step_asked(context: Any, what: str) -> None:
     if what == "not at all":
         assert not context.backpressure
