--- a/egretspur/clients/log.py
+++ b/egretspur/clients/log.py
@@ -95,7 +95,7 @@
         self._transport.close()
 
 
-def append_until(
+def append_with_retries(
     append: Callable[[], int | errors.Refusal], timeout_s: float
 ) -> int | errors.Refusal:
     """Retries an append until it succeeds or the timeout expires.
--- a/egretspur/intents/desk.py
+++ b/egretspur/intents/desk.py
@@ -246,7 +246,7 @@
             The offset at which it was folded first, or "outcome unknown".
         """
         value = records.CODEC.encode(record)
-        res = logs.append_until(
+        res = logs.append_with_retries(
             lambda: self._sources.log.append(records.STREAM, [value]), APPEND_S
         )
         end = time.monotonic() + READ_BACK_S
--- a/egretspur/intents/follower.py
+++ b/egretspur/intents/follower.py
@@ -164,7 +164,7 @@
             # Each part is an append of its own, so that one lost answer
             # repeats one part; the id makes a repeat harmless.
             value = records.CODEC.encode(part)
-            res = logs.append_until(
+            res = logs.append_with_retries(
                 lambda v=value: self._client.append(  # type: ignore[misc]
                     records.STREAM, [v]
                 ),
--- a/egretspur/platform/decode.py
+++ b/egretspur/platform/decode.py
@@ -55,7 +55,7 @@
     state = data.get_text("state")
     if state not in (_READY, _DRAINING):
         raise checks.FieldError("state", f"unknown: {state[:40]!r}")
-    # Unused, but required: upstreams write these fields in every entry.
+    # Unused, but an entry without them was not written by an upstream.
     data.get_text("version")
     data.get_number("cold_left_ms")
     data.get_count("seq_no")
--- a/egretspur/platform/node.py
+++ b/egretspur/platform/node.py
@@ -81,14 +81,14 @@
     """Detects changes of the settings file."""
 
     def __init__(self) -> None:
-        self._stamp = self._get_stamp()
+        self._version = self._get_version()
 
     def is_changed(self) -> bool:
         """Returns whether the file has changed since the previous call."""
-        before, self._stamp = self._stamp, self._get_stamp()
-        return before != self._stamp
+        before, self._version = self._version, self._get_version()
+        return before != self._version
 
-    def _get_stamp(self) -> tuple[float, int]:
+    def _get_version(self) -> tuple[float, int]:
         try:
             stat = os.stat(os.environ.get(names.SETTINGS_VARIABLE, ""))
         except OSError:
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -291,7 +291,7 @@
     def _decode_record(
         self, record: handover.Record, before: T | feeds.Unreadable | None
     ) -> T | feeds.Unreadable:
-        """Decodes a record; logs it if it has become unreadable."""
+        """Decodes a record; logs it if it is newly unreadable."""
         value = decode.decode_record(
             record.raw, lambda data: self._decode(record.key, data)
         )
@@ -492,7 +492,7 @@
         return tuple(sorted({str(row[2]) for row in rows if row[2]}))
 
     def leave(self) -> None:
-        """Gives up the duty; if the call is lost, its time to live ends it."""
+        """Gives up the duty; if the call is lost, the membership expires."""
         self._store.post(
             "/egretspur/log-leave",
             {"group": self._group, "member_id": self._member},
