--- a/egretspur/delivery/pump.py
+++ b/egretspur/delivery/pump.py
@@ -46,9 +46,9 @@
     # Maximum seconds until the next event.
     max_silence_s: float
     done: threading.Event = attrs.Factory(threading.Event)
-    broken: engine.Broken | None = None
+    broken: engine.StreamFailure | None = None
 
-    def finish(self, broken: engine.Broken | None) -> None:
+    def finish(self, broken: engine.StreamFailure | None) -> None:
         """Wakes the thread that waits in `Pump.run`."""
         self.broken = broken
         self.done.set()
@@ -86,7 +86,7 @@
         stream: engine.EventStream,
         consumer: Consumer,
         max_silence_s: float,
-    ) -> engine.Broken | None:
+    ) -> engine.StreamFailure | None:
         """Passes a stream's events to its consumer until the stream ends.
 
         Args:
@@ -98,7 +98,7 @@
             Why the stream broke; None if the consumer stopped it.
         """
         entry = _Entry(stream, consumer, time.monotonic(), max_silence_s)
-        stream.bound_reads()
+        stream.set_event_timeout()
         with self._lock:
             self._new_entries.append(entry)
             if self._is_idle:
@@ -124,7 +124,7 @@
             if ready:
                 time.sleep(ROUND_SLEEP_S)
         for entry in list(self._entries):
-            self._end(entry, engine.Broken("router is stopping", True))
+            self._end(entry, engine.StreamFailure("router is stopping", True))
 
     def _register_new(self) -> None:
         """Registers added streams until there are none left.
@@ -151,7 +151,9 @@
             except (KeyError, OSError, ValueError) as exc:
                 # A failure of one stream must not stop the others.
                 _LOG.info("stream not registered", extra={"reason": repr(exc)})
-                entry.finish(engine.Broken(repr(exc), maybe_started=True))
+                entry.finish(
+                    engine.StreamFailure(repr(exc), maybe_started=True)
+                )
                 continue
             self._entries.add(entry)
             # Bytes that were read together with the response headers are in
@@ -161,26 +163,30 @@
 
     def _read(self, entry: _Entry) -> None:
         events = entry.stream.read_ready()
-        if isinstance(events, engine.Broken):
+        if isinstance(events, engine.StreamFailure):
             self._end(entry, events)
             return
         entry.last_read_s = time.monotonic()
-        entry.max_silence_s = entry.stream.between_s
+        entry.max_silence_s = entry.stream.max_silence_s
         try:
             wants_more = entry.consumer.handle_events(events)
         except Exception as exc:
             # A failure of one stream must not stop the others.
             _LOG.exception("stream consumer failed")
-            self._end(entry, engine.Broken(repr(exc), maybe_started=True))
+            self._end(
+                entry, engine.StreamFailure(repr(exc), maybe_started=True)
+            )
             return
         if not wants_more:
             self._end(entry, None)
         elif entry.stream.ended:
-            self._end(entry, engine.Broken("no end event", maybe_started=True))
-        elif entry.stream.broken is not None:
+            self._end(
+                entry, engine.StreamFailure("no end event", maybe_started=True)
+            )
+        elif entry.stream.failure is not None:
             # Without another read: another answer may already use the
             # connection.
-            self._end(entry, entry.stream.broken)
+            self._end(entry, entry.stream.failure)
 
     def _end_silent(self, now_s: float) -> None:
         for entry in list(self._entries):
@@ -188,12 +194,12 @@
             if silent_s > entry.max_silence_s:
                 self._end(
                     entry,
-                    engine.Broken(
+                    engine.StreamFailure(
                         f"silent for {silent_s:.2f} s", maybe_started=True
                     ),
                 )
 
-    def _end(self, entry: _Entry, broken: engine.Broken | None) -> None:
+    def _end(self, entry: _Entry, broken: engine.StreamFailure | None) -> None:
         if entry not in self._entries:
             return
         self._entries.discard(entry)
--- a/egretspur/delivery/relay.py
+++ b/egretspur/delivery/relay.py
@@ -206,7 +206,7 @@
         call = self._make_call(grant)
         self._grant = grant
         opened = self._deps.engines.run(call)
-        if isinstance(opened, engine.Broken):
+        if isinstance(opened, engine.StreamFailure):
             return self._end_broken(grant, opened)
         self._stream = opened
         self._reported_s = time.monotonic()
@@ -222,7 +222,7 @@
         assert stream is not None
         while not texts:
             events = stream.read()
-            if isinstance(events, engine.Broken):
+            if isinstance(events, engine.StreamFailure):
                 return self._end_broken(grant, events)
             fault = self._accept(events, texts)
             if fault is not None:
@@ -238,7 +238,7 @@
         assert grant is not None and stream is not None
         # The long limit covers the prefill; after this attempt's first token
         # the short one applies, so that a silent stage is noticed.
-        max_silence_s = stream.between_s
+        max_silence_s = stream.max_silence_s
         if len(self._merge.tokens) == self._first_position:
             max_silence_s = self._deps.first_event_s
         broken = self._deps.pump.run(stream, self, max_silence_s)
@@ -308,7 +308,7 @@
         self._reported_tokens = count
 
     def _end_broken(
-        self, grant: requests.Grant, broken: engine.Broken
+        self, grant: requests.Grant, broken: engine.StreamFailure
     ) -> requests.Failure:
         """Ends an attempt whose connection failed.
 
@@ -332,7 +332,7 @@
         )
 
     def _end_refused(
-        self, grant: requests.Grant, broken: engine.Broken
+        self, grant: requests.Grant, broken: engine.StreamFailure
     ) -> requests.Failure:
         self._grant = None
         refusal = broken.refusal
--- a/egretspur/intents/follower.py
+++ b/egretspur/intents/follower.py
@@ -164,11 +164,11 @@
             # Each part is an append of its own, so that one lost answer
             # repeats one part; the id makes a repeat harmless.
             value = records.CODEC.encode(part)
-            res = logs.append_until(
+            res = logs.append_with_retries(
                 lambda v=value: self._client.append(  # type: ignore[misc]
                     records.STREAM, [v]
                 ),
-                deadline_s=5.0,
+                timeout_s=5.0,
             )
             if isinstance(res, errors.Refusal):
                 _LOG.warning("checkpoint not written: %s", res.reason)
