--- a/egretspur/intents/__init__.py
+++ b/egretspur/intents/__init__.py
@@ -1,1 +1,1 @@
-"""Intents, plans and confirmations as a deterministic fold of the log."""
+"""Intents, plans and confirmations, folded from the log."""
--- a/egretspur/intents/fold.py
+++ b/egretspur/intents/fold.py
@@ -1,9 +1,9 @@
 """The fold: how each record changes the state.
 
 Pure and deterministic: the same records in the same order give the same state
-in every process, which is why no agreement protocol is needed. A record that
-does not count (a repeat, a lost race, a lapsed lease) leaves the state as it
-was but for its offset, and the outcome says why.
+in every process, so no consensus protocol is needed. An ignored record (a
+repeat, a lost race, an outdated lease) advances only the state's offset, and
+the outcome holds the reason.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 @attrs.frozen
 class Applied:
-    """The record counted."""
+    """The record took effect."""
 
 
 @attrs.frozen
 class Ignored:
-    """The record did not count."""
+    """The record took no effect."""
 
     reason: str
 
 
-class _Signed(Protocol):
-    """A record that says who wrote it and when."""
+class _AuthoredRecord(Protocol):
+    """A record with its author and time."""
 
     @property
     def by(self) -> str:
@@ -39,7 +39,7 @@
 
     @property
     def at_ms(self) -> int:
-        """Wall time of the writer, for people only."""
+        """Wall time of the writer, for display only."""
 
 
 Outcome = Applied | Ignored
@@ -52,16 +52,16 @@
     Args:
         state: Changed in place.
         entry: The record; entries at or below the state's offset are ignored,
-            so reading from behind can't turn the state back.
+            so a late or repeated read can't revert the state.
     """
     if entry.offset <= state.offset:
         return Ignored("already folded")
     state.offset = entry.offset
     record = entry.record
     if record.id in state.ids:
-        # The writer lost the answer to its append and sent it again: the same
-        # id stands in the log twice. Counting both would, for example, take a
-        # lease twice; a repeat is noticed here by its id.
+        # A writer that got no answer to its append sends the record again, so
+        # the log may hold it twice. Applying both would, for example, take a
+        # lease twice.
         return Ignored(f"repeat of the record at {state.ids[record.id]}")
     _remember_id(state, record.id, entry.offset)
     if not isinstance(record, records.LeaseTaken):
@@ -120,11 +120,11 @@
         return Ignored(f"plan {record.plan_id} is {plan.status.value}")
     conflict = find_conflict(state, plan.plan)
     if conflict:
-        _end(state, plan, states.PlanStatus.CONFLICT, conflict)
+        _end_plan(state, plan, states.PlanStatus.CONFLICT, conflict)
         _add_plan_history(state, offset, record, "conflict", plan, conflict)
         return Ignored(conflict)
     made = plan.plan
-    _note_changes(state, made.writes, offset, made.intent_id)
+    _record_changes(state, made.writes, offset, made.intent_id)
     for deployment in made.deployments:
         state.deployments[deployment.id] = deployment
     for name in made.binding.deployments:
@@ -153,9 +153,11 @@
         return Ignored(f"plan {record.plan_id} is {plan.status.value}")
     if plan.status is states.PlanStatus.PREPARING:
         made = plan.plan
-        _note_changes(state, made.writes, offset, made.intent_id)
-        _release(state, made, offset)
-    _end(state, plan, states.PlanStatus.REJECTED, f"rejected by {record.by}")
+        _record_changes(state, made.writes, offset, made.intent_id)
+        _release_deployments(state, made, offset)
+    _end_plan(
+        state, plan, states.PlanStatus.REJECTED, f"rejected by {record.by}"
+    )
     _add_plan_history(state, offset, record, "rejected", plan)
     return _APPLIED
 
@@ -165,7 +167,7 @@
     plan = state.plans.get(record.plan_id)
     if plan is None or plan.status is not states.PlanStatus.PREPARING:
         return Ignored(f"plan {record.plan_id} is not being prepared")
-    if not _is_current(state, record.data_centre, record.fence):
+    if not _is_current_lease(state, record.data_centre, record.fence):
         return Ignored(f"lease {record.fence} is not the latest")
     if record.data_centre not in plan.pending:
         return Ignored(f"{record.data_centre} is prepared")
@@ -181,7 +183,7 @@
     deployment = state.deployments.get(record.deployment_id)
     if deployment is None:
         return Ignored(f"no deployment {record.deployment_id}")
-    if not _is_current(state, record.data_centre, record.fence):
+    if not _is_current_lease(state, record.data_centre, record.fence):
         return Ignored(f"lease {record.fence} is not the latest")
     if not any(
         s.upstream == record.dead for c in deployment.chains for s in c.stages
@@ -191,10 +193,10 @@
         deployment, record.dead, record.spare
     )
     state.routing_offset = offset
-    # Repairs are counted as changes of the two upstreams, so that a plan that
-    # read either is told so at its confirmation instead of loading both.
+    # A repair changes both upstreams, so a plan that read either of them is
+    # refused at its confirmation and can't load layers on both.
     keys = [records.upstream_key(n) for n in (record.dead, record.spare)]
-    _note_changes(state, keys, offset, f"repair of {record.deployment_id}")
+    _record_changes(state, keys, offset, f"repair of {record.deployment_id}")
     _add_history(
         state,
         offset,
@@ -210,9 +212,10 @@
     current = state.leases.get(record.data_centre)
     latest = current.offset if current else 0
     if record.expects != latest:
-        # Two daemons asked at once, or an append arrived late. Only the first
-        # to follow the latest lease counts; the other sees it and waits.
-        return Ignored(f"lease {latest} came first")
+        # Two daemons requested the lease at once, or an append arrived late.
+        # Only the first record that expects the latest lease takes effect; the
+        # other daemon reads this and waits.
+        return Ignored(f"lease {latest} is the latest")
     state.leases[record.data_centre] = states.Lease(
         offset, record.holder, record.duration_s
     )
@@ -241,7 +244,7 @@
 
 
 def find_conflict(state: states.State, plan: records.PlanMade) -> str:
-    """Tells why a plan can't be confirmed any more; empty if it can."""
+    """Returns why a plan can't be confirmed, or an empty string."""
     if plan.base_offset < state.changes_floor:
         return f"the plan was made at {plan.base_offset}, too long ago"
     if plan.binding.deployments == () and plan.findings.unmet:
@@ -260,7 +263,7 @@
 def replace_upstream(
     deployment: records.Deployment, dead: str, spare: str
 ) -> records.Deployment:
-    """Returns the deployment with one upstream exchanged."""
+    """Returns the deployment with one upstream replaced."""
     return attrs.evolve(
         deployment,
         chains=tuple(
@@ -282,7 +285,7 @@
     offset: int,
     record: records.PlanConfirmed | records.Prepared,
 ) -> None:
-    """Puts a plan in force; routers switch at this one offset."""
+    """Activates a plan; all routers switch to it at this offset."""
     made = plan.plan
     key = records.binding_key(made.binding.workspace, made.binding.model)
     previous = state.plans.get(state.active_plans.get(key, ""))
@@ -294,17 +297,17 @@
     state.routing_offset = offset
     plan.status = states.PlanStatus.ACTIVE
     plan.active_offset = offset
-    # Keys are for the confirmation; kept in each of thousands of plans they
-    # would be half of this process's state.
+    # The keys are needed only for the confirmation. Kept in each of thousands
+    # of plans, they would be half of this process's state.
     plan.plan = attrs.evolve(made, reads=(), writes=())
     if previous is not None and previous is not plan:
-        _end(
+        _end_plan(
             state,
             previous,
             states.PlanStatus.SUPERSEDED,
             f"replaced by plan {made.plan_id}",
         )
-        _release(state, previous.plan, offset)
+        _release_deployments(state, previous.plan, offset)
     _add_plan_history(state, offset, record, "in force", plan)
 
 
@@ -313,8 +316,8 @@
 ) -> tuple[str, ...]:
     """Returns the data centres whose loads a plan must wait for.
 
-    Besides its own deployments these are shared ones that another plan is
-    still preparing: switching to those would send requests to empty engines.
+    These include data centres where another plan is still loading a deployment
+    that this plan shares: its engines would get requests before their layers.
     """
     pending = {d.data_centre for d in made.deployments}
     for name in made.binding.deployments:
@@ -327,8 +330,10 @@
     return tuple(sorted(pending))
 
 
-def _release(state: states.State, made: records.PlanMade, offset: int) -> None:
-    """Drops the deployments that no confirmed plan uses any more."""
+def _release_deployments(
+    state: states.State, made: records.PlanMade, offset: int
+) -> None:
+    """Removes the deployments that no confirmed plan uses any more."""
     for name in made.binding.deployments:
         state.uses[name] -= 1
         if state.uses[name]:
@@ -337,21 +342,21 @@
         gone = state.deployments.pop(name, None)
         if gone is not None:
             key = records.deployments_key(gone, gone.data_centre)
-            _note_changes(state, [key], offset, made.intent_id)
+            _record_changes(state, [key], offset, made.intent_id)
 
 
-def _note_changes(
+def _record_changes(
     state: states.State, keys: Iterable[str], offset: int, intent_id: str
 ) -> None:
     for key in sorted(keys):
         state.changes.pop(key, None)
         state.changes[key] = states.Change(offset, intent_id)
-    while len(state.changes) > states.CHANGES_KEPT:
+    while len(state.changes) > states.CHANGED_KEYS_MAX:
         oldest = next(iter(state.changes))
         state.changes_floor = state.changes.pop(oldest).offset
 
 
-def _end(
+def _end_plan(
     state: states.State,
     plan: states.PlanState,
     status: states.PlanStatus,
@@ -361,11 +366,11 @@
     plan.reason = reason
     plan.pending = ()
     state.ended.append(plan.plan.plan_id)
-    if len(state.ended) > states.ENDED_KEPT:
-        _forget_plan(state, state.ended.pop(0))
+    if len(state.ended) > states.ENDED_PLANS_MAX:
+        _delete_plan(state, state.ended.pop(0))
 
 
-def _forget_plan(state: states.State, plan_id: str) -> None:
+def _delete_plan(state: states.State, plan_id: str) -> None:
     plan = state.plans.pop(plan_id, None)
     if plan is None:
         return
@@ -377,21 +382,23 @@
         del state.intents[plan.plan.intent_id]
 
 
-def _is_current(state: states.State, data_centre: str, fence: int) -> bool:
+def _is_current_lease(
+    state: states.State, data_centre: str, fence: int
+) -> bool:
     lease = state.leases.get(data_centre)
     return lease is not None and lease.offset == fence
 
 
 def _remember_id(state: states.State, record_id: str, offset: int) -> None:
     state.ids[record_id] = offset
-    if len(state.ids) > states.IDS_KEPT:
+    if len(state.ids) > states.RECORD_IDS_MAX:
         del state.ids[next(iter(state.ids))]
 
 
 def _add_plan_history(
     state: states.State,
     offset: int,
-    record: _Signed,
+    record: _AuthoredRecord,
     what: str,
     plan: states.PlanState,
     detail: str = "",
@@ -410,7 +417,7 @@
 def _add_history(
     state: states.State,
     offset: int,
-    record: _Signed,
+    record: _AuthoredRecord,
     what: str,
     intent_id: str = "",
     plan_id: str = "",
@@ -421,5 +428,5 @@
             offset, record.at_ms, record.by, what, intent_id, plan_id, detail
         )
     )
-    if len(state.history) > states.HISTORY_KEPT:
-        del state.history[: len(state.history) - states.HISTORY_KEPT]
+    if len(state.history) > states.HISTORY_MAX:
+        del state.history[: len(state.history) - states.HISTORY_MAX]
--- a/egretspur/intents/records.py
+++ b/egretspur/intents/records.py
@@ -1,9 +1,9 @@
 """Records of the configuration stream and the data they carry.
 
-The stream in the platform's log is the only arbiter: a record's offset is its
-place in history, its version and, for a lease, its fencing number. Every
-record has an `id` chosen by its writer, so that a record appended twice counts
-once. Read next: `egretspur.intents.state`, which these records are folded into.
+The stream in the platform's log alone decides the order: a record's offset is
+its position, its version and, for a lease, its fencing token. Every record has
+an `id` chosen by its writer, so that a record appended twice takes effect once.
+Read next: `egretspur.intents.state`, which these records are folded into.
 """
 
 from __future__ import annotations
@@ -31,11 +31,12 @@
     data_centres: tuple[str, ...]
     # Larger is served first.
     priority: int
-    # Chains wanted in each data centre; 0 takes the workspace off the model.
+    # Chains wanted in each data centre; 0 stops serving the workspace's
+    # requests for the model.
     replicas: int
     # Requests of the workspace served at once; 0 means no limit.
     limit: int = 0
-    # Chains are spread over this many racks where there are enough.
+    # Chains are spread over this many racks if the data centre has enough.
     racks: int = 1
 
 
@@ -50,7 +51,7 @@
 
 @attrs.frozen
 class Chain:
-    """Stages that cover a model's layers once, in order."""
+    """Stages that cover each of a model's layers once, in order."""
 
     id: str
     stages: tuple[Stage, ...]
@@ -84,24 +85,24 @@
 
 @attrs.frozen
 class Findings:
-    """What a plan tells the operator besides its steps."""
+    """Estimated effects of a plan, shown to the operator with its steps."""
 
     # Tokens per second for the intent's model before and after.
     before_tokens_per_s: float
     after_tokens_per_s: float
-    # What the hosts used could deliver if layers were divisible at will.
+    # Upper bound for the hosts used, if layers could be split arbitrarily.
     bound_tokens_per_s: float
-    # Seconds the weight store needs for the loads.
+    # Seconds that the weight store needs to deliver the layers.
     load_s: float
-    # Wishes that can't be met, with the reason.
+    # Requirements of the intent that can't be met, with the reason.
     unmet: tuple[str, ...] = ()
-    # What gets worse for others.
+    # Degradations for other workspaces.
     worse: tuple[str, ...] = ()
 
 
 @attrs.frozen
 class IntentCreated:
-    """An operator asked for something."""
+    """An operator created an intent."""
 
     id: str
     by: str
@@ -111,7 +112,7 @@
 
 @attrs.frozen
 class PlanMade:
-    """The system's answer to an intent."""
+    """A control daemon made a plan for an intent."""
 
     id: str
     by: str
@@ -120,7 +121,7 @@
     intent_id: str
     # Offset of the state the plan was made from.
     base_offset: int
-    # Keys whose change after `base_offset` makes the plan void.
+    # Keys whose change after `base_offset` invalidates the plan.
     reads: tuple[str, ...]
     # Those of `reads` that the plan changes once confirmed.
     writes: tuple[str, ...]
@@ -131,7 +132,7 @@
 
 @attrs.frozen
 class PlanConfirmed:
-    """An operator accepted a plan."""
+    """An operator confirmed a plan."""
 
     id: str
     by: str
@@ -141,7 +142,7 @@
 
 @attrs.frozen
 class PlanRejected:
-    """An operator refused a plan, or withdrew it while it was preparing."""
+    """An operator rejected a plan, or withdrew it during preparation."""
 
     id: str
     by: str
@@ -151,20 +152,20 @@
 
 @attrs.frozen
 class Prepared:
-    """A lease holder found all of a plan loaded in its data centre."""
+    """A lease holder reports a plan fully loaded in its data centre."""
 
     id: str
     by: str
     at_ms: int
     plan_id: str
     data_centre: str
-    # Offset of the lease under which it was found.
+    # Offset of the holder's lease.
     fence: int
 
 
 @attrs.frozen
 class Repaired:
-    """A lease holder put a loaded spare in the place of a dead upstream."""
+    """A lease holder replaced a dead upstream by a loaded spare."""
 
     id: str
     by: str
@@ -178,7 +179,7 @@
 
 @attrs.frozen
 class LeaseTaken:
-    """A control daemon asks to give orders in a data centre."""
+    """A control daemon requests the lease to give orders in a data centre."""
 
     id: str
     by: str
@@ -187,8 +188,8 @@
     # Name and incarnation of the daemon.
     holder: str
     duration_s: float
-    # Offset of the lease this one follows; it counts only if that still is
-    # the latest. 0 for the first lease.
+    # Offset of the lease that this one succeeds, 0 for the first. It takes
+    # effect only if that lease is still the latest.
     expects: int
 
 
@@ -201,7 +202,7 @@
     at_ms: int
     # Offset of the state in the snapshot.
     base_offset: int
-    # Digest of the whole state; parts belong together if this is equal.
+    # Digest of the whole state; equal in all parts of a snapshot.
     digest: str
     part: int
     parts: int
@@ -210,7 +211,7 @@
 
 @attrs.frozen
 class Unreadable:
-    """Stands for a record that this version can't read; it changes nothing."""
+    """Placeholder for a record that this version can't decode."""
 
     id: str
     reason: str
@@ -242,19 +243,19 @@
 
 @attrs.frozen
 class Entry:
-    """A record at its place in the stream."""
+    """A record with its offset in the stream."""
 
     offset: int
     record: Record
 
 
 def binding_key(workspace: str, model: str) -> str:
-    """Key of what a workspace is served with for a model."""
+    """Key of the binding of a workspace and a model."""
     return f"binding/{workspace}/{model}"
 
 
 def upstream_key(name: str) -> str:
-    """Key of what an upstream holds."""
+    """Key of the layers that an upstream holds."""
     return f"upstream/{name}"
 
 
--- a/egretspur/intents/state.py
+++ b/egretspur/intents/state.py
@@ -1,8 +1,8 @@
 """State that every process folds from the configuration stream.
 
-Only `egretspur.intents.fold` changes it. All containers are keyed and ordered
-by the records alone, so two processes at the same offset hold equal states and
-equal digests.
+Only `egretspur.intents.fold` changes it. The keys and the order of all
+containers follow from the records alone, so two processes at the same offset
+hold equal states with equal digests.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from egretspur import codec
 from egretspur.intents import records
 
-# Entries of `State.history` kept; older ones stay in the log only.
-HISTORY_KEPT: Final = 2000
+# Entries of `State.history` kept; older ones remain only in the log.
+HISTORY_MAX: Final = 2000
 
-# Record ids remembered to recognise a record appended twice. A writer repeats
-# an append for seconds; at several hundred appends a second of the whole log
-# and about one of the configuration, this is hours.
-IDS_KEPT: Final = 4096
+# Record ids kept to detect a record appended twice. A writer retries an append
+# for seconds; the ids cover hours, at about one record a second in this stream
+# and several hundred appends a second in the whole log.
+RECORD_IDS_MAX: Final = 4096
 
-# Changed keys remembered. A plan older than the oldest of them can't be checked
-# any more and is refused; an operator makes a new one.
-CHANGES_KEPT: Final = 4096
+# Changed keys kept. A plan older than the oldest of them can't be checked for
+# conflicts and is refused; the operator has to make a new one.
+CHANGED_KEYS_MAX: Final = 4096
 
-# Plans that ended (rejected, in conflict, superseded) kept for the operator.
-ENDED_KEPT: Final = 500
+# Ended plans (rejected, in conflict, superseded) kept for display.
+ENDED_PLANS_MAX: Final = 500
 
 
 class PlanStatus(enum.Enum):
-    """Life of a plan."""
+    """Status of a plan."""
 
     PROPOSED = "proposed"
     PREPARING = "preparing"
@@ -45,7 +45,7 @@
 
 @attrs.define
 class PlanState:
-    """A plan and where it stands."""
+    """A plan and its progress."""
 
     plan: records.PlanMade
     offset: int
@@ -55,7 +55,7 @@
     # Why the plan ended, for the operator.
     reason: str = ""
     confirmed_by: str = ""
-    # Offsets at which it was confirmed and came into force; 0 if not yet.
+    # Offsets of its confirmation and activation; 0 if not yet.
     confirmed_offset: int = 0
     active_offset: int = 0
 
@@ -81,7 +81,7 @@
 
 @attrs.frozen
 class Lease:
-    """The latest lease of a data centre; its offset is the fencing number."""
+    """The latest lease of a data centre; its offset is the fencing token."""
 
     offset: int
     holder: str
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class HistoryEntry:
-    """One line of what was asked, planned and done."""
+    """One line of the history shown to operators."""
 
     offset: int
     at_ms: int
@@ -103,7 +103,7 @@
 
 @attrs.define
 class State:
-    """Everything folded so far."""
+    """State folded from all records so far."""
 
     # Offset of the last record folded; 0 before the first.
     offset: int = 0
@@ -115,17 +115,17 @@
     bindings: dict[str, records.Binding] = attrs.Factory(dict)
     # Plan in force for each binding key.
     active_plans: dict[str, str] = attrs.Factory(dict)
-    # Offset of the last change of `bindings` or `deployments`; routers need
-    # nothing new until it changes.
+    # Offset of the last change of `bindings` or `deployments`; routers need a
+    # new table only when it changes.
     routing_offset: int = 0
-    # Offset of the last record that other hosts wait for; leases are renewed
-    # all the time and are no news to most.
+    # Offset of the last record other than a lease. Lease renewals are frequent
+    # and most hosts don't wait for them.
     news_offset: int = 0
-    # Confirmed plans, in preparation or in force, that use a deployment.
+    # Number of plans, in preparation or in force, that use a deployment.
     uses: dict[str, int] = attrs.Factory(dict)
-    # Last change of each key, oldest first; equal offsets by key.
+    # Last change of each key, ordered by offset, then by key.
     changes: dict[str, Change] = attrs.Factory(dict)
-    # Offset of the newest change forgotten.
+    # Offset of the newest evicted change.
     changes_floor: int = 0
     leases: dict[str, Lease] = attrs.Factory(dict)
     history: list[HistoryEntry] = attrs.Factory(list)
@@ -135,20 +135,20 @@
     ended: list[str] = attrs.Factory(list)
     # Base offset of the last complete checkpoint seen in the stream.
     checkpoint: int = 0
-    # Parts seen of the newest incomplete checkpoint: id prefix to part numbers.
+    # Part numbers seen of incomplete checkpoints, by base offset and digest.
     parts_seen: dict[str, tuple[int, ...]] = attrs.Factory(dict)
 
 
 def dump(state: State) -> bytes:
-    """Returns the state as JSON; equal bytes for equal states."""
+    """Returns the state as JSON; equal states give equal bytes."""
     return codec.dump_json(codec.encode(state))
 
 
 def compute_digest(state: State) -> str:
-    """Returns a digest that is equal for equal states."""
+    """Returns the digest of a state; equal states give equal digests."""
     return digest_bytes(dump(state))
 
 
 def digest_bytes(plain: bytes) -> str:
-    """Returns the digest of a state that was dumped already."""
+    """Returns the digest of a dumped state."""
     return hashlib.sha256(plain).hexdigest()
