--- a/egretspur/cli/main.py
+++ b/egretspur/cli/main.py
@@ -380,7 +380,7 @@
     new = checker.check_table("", {**data, "by": operator}, desk.NewIntent)
     if checker.mistakes:
         return "\n".join(str(m) for m in checker.mistakes)
-    problem = desk.find_problem(new)
+    problem = desk.validate_intent(new)
     return f"{path}: {problem}" if problem else new
 
 
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -95,9 +95,9 @@
             self._hosts,
             orders.Effects(self._append, self._note_leaving),
         )
-        self._desk = desks.Desk(
+        self._desk = desks.OperatorCommands(
             cfg.node.name,
-            desks.Sources(
+            desks.Dependencies(
                 self._config,
                 self._log,
                 self._weights,
@@ -399,7 +399,7 @@
         self._tell_node(offset, is_urgent)
 
     def _note_ahead(self, address: str, offset: int) -> None:
-        self._follower.note_ahead(address, offset)
+        self._follower.request_pull(address, offset)
 
     def _note_leaving(self, upstream: str, incarnation: str) -> None:
         self._members.tell(members.AddLeaving(upstream, incarnation))
--- a/egretspur/intents/actor.py
+++ b/egretspur/intents/actor.py
@@ -1,7 +1,7 @@
 """Actor that holds the folded configuration of one control daemon.
 
-All changes and all reads of the state happen in its thread. Read
-`egretspur.intents.follow` for what it does with a batch.
+All reads and changes of the state happen in the actor's thread. Read next:
+`egretspur.intents.follow`, which applies a batch of records to the state.
 """
 
 from __future__ import annotations
@@ -24,61 +24,61 @@
 
 T = TypeVar("T")
 
-# Records kept to be handed to peers.
-RECENT_KEPT: Final = 512
+# Recent records kept for peers that request them.
+RECENT_RECORDS_MAX: Final = 512
 
 
 @attrs.frozen
 class Read(Generic[T]):
-    """Asks for the result of a pure function of the state."""
+    """Requests the result of a pure function of the state."""
 
     function: Callable[[states.State], T]
 
 
 @attrs.frozen
-class Take:
-    """Records read from the log or from a peer."""
+class ApplyBatch:
+    """Applies records read from the log or from a peer."""
 
     batch: follow.Batch
 
 
 @attrs.frozen
-class Offer:
-    """A whole state from a peer, or None if it was damaged."""
+class AdoptState:
+    """Offers a peer's whole state, or None if it was damaged."""
 
     state: states.State | None
 
 
 @attrs.frozen
 class GetRecent:
-    """Asks for records from an offset on, as a `follow.Batch`."""
+    """Requests the records from an offset on, as a `follow.Batch`."""
 
     start: int
 
 
 @attrs.frozen
 class Position:
-    """Where this process stands in the stream."""
+    """Read position of this process in the stream."""
 
     offset: int
     # Offset to read from next; differs from `offset + 1` during a gap.
     next: int
-    # True while records are missing that no snapshot has filled.
+    # True while missing records are not covered by a checkpoint.
     gap: bool
 
 
 class ConfigActor(actors.Actor):
-    """Holds the state; see the messages above."""
+    """Holds the state and handles the messages above."""
 
-    def __init__(self, changed: Callable[[states.State], None]) -> None:
+    def __init__(self, on_change: Callable[[states.State], None]) -> None:
         super().__init__()
-        self._changed = changed
+        self._on_change = on_change
         self._state = states.State()
-        self._reader = follow.Reader()
+        self._scan = follow.CheckpointScan()
         self._next = 1
         self._gap = False
         self._recent: collections.deque[records.Entry] = collections.deque(
-            maxlen=RECENT_KEPT
+            maxlen=RECENT_RECORDS_MAX
         )
 
     @functools.singledispatchmethod
@@ -91,21 +91,21 @@
         return message.function(self._state)
 
     @handle.register
-    def _(self, message: Take) -> Position:
+    def _(self, message: ApplyBatch) -> Position:
         before = self._state.offset
-        found = follow.follow(self._state, message.batch, self._reader)
-        self._state = found.state
-        self._next = found.next
-        self._gap = found.gap
+        result = follow.apply_batch(self._state, message.batch, self._scan)
+        self._state = result.state
+        self._next = result.next
+        self._gap = result.gap
         for entry in message.batch.entries:
             if before < entry.offset <= self._state.offset:
                 self._recent.append(entry)
-        if found.changed:
-            self._changed(self._state)
+        if result.changed:
+            self._on_change(self._state)
         return self._get_position()
 
     @handle.register
-    def _(self, message: Offer) -> Position:
+    def _(self, message: AdoptState) -> Position:
         state = follow.adopt(self._state, message.state)
         if state is not self._state:
             _LOG.info("adopted a peer's state", extra={"offset": state.offset})
@@ -113,7 +113,7 @@
             self._next = state.offset + 1
             self._gap = False
             self._recent.clear()
-            self._changed(state)
+            self._on_change(state)
         return self._get_position()
 
     @handle.register
@@ -128,46 +128,46 @@
 
 
 class Config:
-    """Typed front of the actor, shared by the slices of a daemon."""
+    """Typed, thread-safe interface to the actor."""
 
-    def __init__(self, changed: Callable[[states.State], None]) -> None:
+    def __init__(self, on_change: Callable[[states.State], None]) -> None:
         """Starts the actor.
 
         Args:
-            changed: Called in the actor's thread after each change; it must
-                neither change the state nor ask this object for anything.
+            on_change: Called in the actor's thread after each change; it must
+                neither change the state nor call this object.
         """
-        self._changed = changed
+        self._on_change = on_change
         self._condition = threading.Condition()
         self._offset = 0
-        self._ref = ConfigActor.start(self._note)
+        self._ref = ConfigActor.start(self._handle_change)
 
     def close(self) -> None:
         """Stops the actor."""
         self._ref.stop()
 
     def read(self, function: Callable[[states.State], T]) -> T:
-        """Returns a pure function of the state."""
+        """Returns the result of a pure function of the state."""
         result: T = actors.ask(self._ref, Read(function))
         return result
 
-    def take(self, batch: follow.Batch) -> Position:
-        """Folds records."""
-        position: Position = actors.ask(self._ref, Take(batch))
+    def apply_batch(self, batch: follow.Batch) -> Position:
+        """Applies records to the state."""
+        position: Position = actors.ask(self._ref, ApplyBatch(batch))
         return position
 
-    def offer(self, state: states.State | None) -> Position:
-        """Adopts a state if it is ahead."""
-        position: Position = actors.ask(self._ref, Offer(state))
+    def adopt_state(self, state: states.State | None) -> Position:
+        """Replaces the state by this one if its offset is higher."""
+        position: Position = actors.ask(self._ref, AdoptState(state))
         return position
 
     def get_recent(self, start: int) -> follow.Batch:
-        """Returns records kept from an offset on."""
+        """Returns the recent records from an offset on."""
         batch: follow.Batch = actors.ask(self._ref, GetRecent(start))
         return batch
 
     def wait_for(self, offset: int, wait_s: float) -> bool:
-        """Waits until an offset is folded; tells whether it is."""
+        """Waits until an offset is folded; returns False on time-out."""
         end = time.monotonic() + wait_s
         with self._condition:
             while self._offset < offset:
@@ -177,8 +177,8 @@
                 self._condition.wait(left)
             return True
 
-    def _note(self, state: states.State) -> None:
+    def _handle_change(self, state: states.State) -> None:
         with self._condition:
             self._offset = state.offset
             self._condition.notify_all()
-        self._changed(state)
+        self._on_change(state)
--- a/egretspur/intents/checkpoints.py
+++ b/egretspur/intents/checkpoints.py
@@ -1,9 +1,9 @@
-"""Checkpoints: snapshots of the state, written into the stream in parts.
+"""Checkpoints: snapshots of the state, appended to the stream in parts.
 
-Records live for a limited time. A snapshot is appended well before the oldest
-record it rests on lapses, by whichever process finds it due; two snapshots of
-one offset are equal and harmless. Only a complete one, with the right digest,
-counts.
+The log deletes records after its retention period. Any process may append a
+snapshot, well before the records since the last one expire. Two snapshots of
+one offset are equal, so writing both is harmless. Readers adopt a snapshot
+only if all its parts are there and its digest matches.
 """
 
 from __future__ import annotations
@@ -19,54 +19,55 @@
 from egretspur.intents import records
 from egretspur.intents import state as states
 
-# Characters of state per part; a log takes records of limited size.
+# Characters of state per part; the log limits the size of a record.
 PART_CHARS: Final = 200_000
 
-# A checkpoint is due when this share of the retention has passed since the
-# last one: three more tries fit before anything lapses.
-DUE_SHARE: Final = 0.25
+# A checkpoint is due once this share of the retention period has passed since
+# the last one, which leaves time for three more attempts before records expire.
+MAX_AGE_RATIO: Final = 0.25
 
-# Or when a reader would have to fold this many records after the last one.
-DUE_RECORDS: Final = 20_000
+# It is also due once a reader must fold this many records after the last one.
+MAX_RECORDS_BEHIND: Final = 20_000
 
 
 @attrs.frozen
-class Due:
-    """What decides whether a checkpoint is due."""
+class CheckpointStatus:
+    """Inputs of the decision whether a checkpoint is due."""
 
-    # Offset folded and base of the last complete checkpoint.
+    # Offset folded, and base offset of the last complete checkpoint.
     offset: int
     checkpoint: int
     # Seconds since this process saw a complete checkpoint appear.
     age_s: float
     retention_s: float
-    # Place of this process among the followers of its data centre; later ones
+    # Rank of this process among the followers of its data centre. Higher ranks
     # wait longer, so that usually one process writes.
     rank: int
-    # Offset of the oldest record the log still has.
+    # Offset of the oldest record still in the log.
     log_first: int
-    # Seconds since the log was first seen without what a reader needs.
+    # Seconds since the log last held every record after the checkpoint.
     lapsed_s: float
 
 
-# Seconds that each further follower waits before it writes back a state whose
-# records have lapsed.
-WRITE_BACK_PAUSE_S: Final = 1.0
+# Delay per rank before a follower writes back a state whose records have
+# expired from the log.
+WRITE_BACK_DELAY_S: Final = 1.0
 
 
-def is_due(due: Due) -> bool:
-    """Tells whether this process should append a checkpoint now."""
+def is_due(due: CheckpointStatus) -> bool:
+    """Returns True if this process should append a checkpoint now."""
     behind = due.offset - due.checkpoint
     if behind <= 0:
         return False
     if due.log_first > due.checkpoint + 1:
-        # An outage outlasted the retention: the log alone no longer gives the
-        # state, so this copy may be the last. It is written back at once.
-        return due.lapsed_s >= WRITE_BACK_PAUSE_S * due.rank
-    patience = 1.0 + 0.5 * due.rank
-    if behind > DUE_RECORDS * patience:
+        # After an outage longer than the retention period, the state can no
+        # longer be rebuilt from the log and this may be the last copy. It is
+        # written back without waiting for the usual interval.
+        return due.lapsed_s >= WRITE_BACK_DELAY_S * due.rank
+    rank_factor = 1.0 + 0.5 * due.rank
+    if behind > MAX_RECORDS_BEHIND * rank_factor:
         return True
-    return due.age_s > due.retention_s * DUE_SHARE * patience
+    return due.age_s > due.retention_s * MAX_AGE_RATIO * rank_factor
 
 
 def split(
@@ -79,7 +80,8 @@
     count = max(1, -(-len(text) // PART_CHARS))
     return [
         records.CheckpointPart(
-            # Equal for two writers of one snapshot: the second is a repeat.
+            # Two writers of one snapshot use the same id, so that the second
+            # record is ignored as a repeat.
             id=f"checkpoint-{state.offset}-{digest[:16]}-{part}",
             by=by,
             at_ms=at_ms,
@@ -96,8 +98,8 @@
 def join(parts: Iterable[records.CheckpointPart]) -> states.State | None:
     """Returns the newest complete state among parts, or None.
 
-    A part may be missing because its writer died or the log lost it; such a
-    snapshot is passed over and an older complete one is taken.
+    A part may be missing because its writer died or the log lost it. Such a
+    snapshot is skipped in favour of an older complete one.
     """
     groups: dict[tuple[int, str, int], dict[int, str]] = {}
     for part in parts:
@@ -124,8 +126,8 @@
         state = codec.load(plain, states.State)
     except (ValueError, zlib.error):
         return None
-    # JSON keys come back sorted by name; what is forgotten by age must be
-    # oldest first again, or this process would forget another than its peers.
+    # JSON keys are sorted by name. Entries that are evicted by age are put
+    # back in order, oldest first, so that all processes evict the same ones.
     state.ids = dict(sorted(state.ids.items(), key=lambda item: item[1]))
     state.changes = dict(
         sorted(state.changes.items(), key=lambda i: (i[1].offset, i[0]))
--- a/egretspur/intents/desk.py
+++ b/egretspur/intents/desk.py
@@ -1,8 +1,8 @@
-"""What operators ask of a control daemon: intents, plans, confirmations.
+"""Operator commands of a control daemon: intents, plans, confirmations.
 
-Each change is a record: appended, read back, and answered by how it was
-folded. If the read-back fails the answer is "outcome unknown" with the
-record's id, since the append may have taken effect.
+Each change is appended to the log as a record and read back; the answer says
+what the record changed. If the read-back fails, the answer is "outcome
+unknown" with the record's id, since the append may have taken effect.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 from egretspur.intents import state as states
 from egretspur.placement import planner
 
-# Seconds an append is repeated before the operator is told that its outcome
-# is unknown.
-APPEND_S: Final = 4.0
+# How long an append is retried before the operator is answered "outcome
+# unknown".
+APPEND_TIMEOUT_S: Final = 4.0
 
-# Seconds to wait for a record to be read back.
-READ_BACK_S: Final = 4.0
+# How long to wait until an appended record is read back.
+READ_BACK_TIMEOUT_S: Final = 4.0
 
 
 @attrs.frozen
 class NewIntent:
-    """An operator's wish, as the command line sends it."""
+    """An operator's request for an intent, as sent by the command line."""
 
     by: str
     workspace: str
@@ -71,7 +71,7 @@
     base_offset: int
     confirmed_offset: int
     active_offset: int
-    # Data centres that still load.
+    # Data centres that have not reported the plan as loaded.
     pending: tuple[str, ...]
     steps: tuple[Step, ...]
     findings: records.Findings
@@ -89,28 +89,28 @@
 
 
 @attrs.frozen
-class Sources:
-    """Where a desk reads and writes."""
+class Dependencies:
+    """Clients and callbacks that the commands use."""
 
     config: configs.Config
     log: logs.LogClient
     weight_store: weights.WeightsClient
-    # Hosts of a data centre, or a refusal.
+    # Returns the hosts of a data centre, or a refusal.
     get_hosts: Callable[[str], list[hostlist.Host] | errors.Refusal]
-    # Reads the log at once.
+    # Reads the log to its head without waiting.
     read_now: Callable[[], None]
 
 
-class Desk:
-    """Operators' commands of one control daemon."""
+class OperatorCommands:
+    """Runs operators' commands on one control daemon."""
 
-    def __init__(self, name: str, sources: Sources) -> None:
+    def __init__(self, name: str, sources: Dependencies) -> None:
         self._name = name
         self._sources = sources
 
     def create_intent(self, new: NewIntent) -> PlanView | errors.Refusal:
-        """Records an intent and answers with its plan."""
-        problem = find_problem(new)
+        """Records an intent and returns its plan."""
+        problem = validate_intent(new)
         if problem:
             return errors.Refusal(errors.ErrorKind.BAD_REQUEST, problem)
         record_id = _make_id("r")
@@ -140,7 +140,7 @@
             return errors.Refusal(
                 errors.ErrorKind.NOT_FOUND, f"intent {intent_id}"
             )
-        inputs = self._gather(snapshot, owner.intent)
+        inputs = self._collect_planner_inputs(snapshot, owner.intent)
         if isinstance(inputs, errors.Refusal):
             return inputs
         plan_id = _make_id("p")
@@ -164,8 +164,8 @@
         return self.get_plan(plan_id)
 
     def confirm(self, plan_id: str, by: str) -> PlanView | errors.Refusal:
-        """Confirms a plan; the fold decides whether that counts."""
-        before = self._check(plan_id, {states.PlanStatus.PROPOSED})
+        """Confirms a plan; the fold decides whether it takes effect."""
+        before = self._check_status(plan_id, {states.PlanStatus.PROPOSED})
         if before is not None:
             return before
         record_id = _make_id("r")
@@ -189,7 +189,7 @@
     def reject(self, plan_id: str, by: str) -> PlanView | errors.Refusal:
         """Rejects a plan, or withdraws it while it is being prepared."""
         allowed = {states.PlanStatus.PROPOSED, states.PlanStatus.PREPARING}
-        before = self._check(plan_id, allowed)
+        before = self._check_status(plan_id, allowed)
         if before is not None:
             return before
         record = records.PlanRejected(_make_id("r"), by, _get_ms(), plan_id)
@@ -217,15 +217,15 @@
         return view
 
     def get_intents(self) -> list[IntentView]:
-        """Returns all intents known, oldest first."""
+        """Returns all intents, oldest first."""
         return self._sources.config.read(view_intents)
 
     def get_record(self, record_id: str) -> int:
-        """Returns the offset of a recent record; 0 if it is not there."""
+        """Returns the offset of a recent record; 0 if it is not found."""
         self._sources.read_now()
         return self._sources.config.read(lambda s: s.ids.get(record_id, 0))
 
-    def _check(
+    def _check_status(
         self, plan_id: str, allowed: set[states.PlanStatus]
     ) -> errors.Refusal | None:
         view = self.get_plan(plan_id)
@@ -243,16 +243,17 @@
         """Appends a record and waits until it is read back.
 
         Returns:
-            The offset at which it was folded first, or "outcome unknown".
+            The offset at which it was first folded, or "outcome unknown".
         """
         value = records.CODEC.encode(record)
         res = logs.append_until(
-            lambda: self._sources.log.append(records.STREAM, [value]), APPEND_S
+            lambda: self._sources.log.append(records.STREAM, [value]),
+            APPEND_TIMEOUT_S,
         )
-        end = time.monotonic() + READ_BACK_S
+        end = time.monotonic() + READ_BACK_TIMEOUT_S
         if isinstance(res, errors.Refusal):
-            # The answers were lost, but one of the appends may have taken
-            # effect; a last look may show it.
+            # No append was acknowledged, but one may have taken effect; the
+            # log is read a little longer to find out.
             end = time.monotonic() + 0.5
         while True:
             self._sources.read_now()
@@ -262,14 +263,18 @@
             if time.monotonic() >= end:
                 break
             time.sleep(0.05)
-        reason = res.reason if isinstance(res, errors.Refusal) else "not read"
+        reason = (
+            res.reason
+            if isinstance(res, errors.Refusal)
+            else "record not read back"
+        )
         return errors.Refusal(
             errors.ErrorKind.OUTCOME_UNKNOWN,
             f"log: {reason}",
             ask_for=record.id,
         )
 
-    def _gather(
+    def _collect_planner_inputs(
         self, state: states.State, intent: records.Intent
     ) -> planner.Inputs | errors.Refusal:
         found_spec = self._sources.weight_store.read(intent.model)
@@ -287,8 +292,8 @@
         return planner.Inputs(state, intent, spec, tuple(hosts))
 
 
-def find_problem(new: NewIntent) -> str:
-    """Tells what is wrong with a wish; empty if nothing."""
+def validate_intent(new: NewIntent) -> str:
+    """Returns why a request is invalid, or an empty string."""
     for name in ("by", "workspace", "model", "version"):
         if not getattr(new, name):
             return f"{name}: expected a name, got an empty string"
@@ -304,7 +309,7 @@
 
 
 def copy_for_planning(state: states.State) -> states.State:
-    """Returns a copy that another thread may read; values are shared."""
+    """Returns a shallow copy that another thread may read."""
     return states.State(
         offset=state.offset,
         intents=dict(state.intents),
@@ -355,7 +360,7 @@
 
 
 def list_steps(state: states.State, made: records.PlanMade) -> list[Step]:
-    """Returns what a plan does, in its order: load, switch, unload."""
+    """Returns the steps of a plan in order: load, switch, unload."""
     steps = []
     for deployment in made.deployments:
         weights_name = _name_weights(deployment)
--- a/egretspur/intents/follow.py
+++ b/egretspur/intents/follow.py
@@ -1,7 +1,7 @@
-"""Following the stream: what to do with a batch read from the log or a peer.
+"""Applies batches of records from the log or a peer to the state.
 
-Pure. The state is only ever replaced by one with a higher offset, so a stale
-peer or a log read from behind can't revert it.
+Pure. The state is only replaced by one with a higher offset, so a stale peer
+or a late answer from the log can't revert it.
 """
 
 from __future__ import annotations
@@ -26,68 +26,72 @@
 
 
 @attrs.frozen
-class Followed:
-    """Result of a batch."""
+class FollowResult:
+    """Result of applying a batch."""
 
     state: states.State
     # Offset to read from next.
     next: int
     # True if records were folded or a snapshot adopted.
     changed: bool
-    # True if records between the state and the batch have lapsed and no
-    # snapshot fills the gap.
+    # True if records between the state and the batch have expired and no
+    # checkpoint covers them.
     gap: bool
 
 
 @attrs.define
-class Reader:
-    """Checkpoint parts met while the state is behind the source's records."""
+class CheckpointScan:
+    """Search for a checkpoint after records that the state lacks expired."""
 
     parts: list[records.CheckpointPart] = attrs.Factory(list)
-    # Offset up to which records were looked through for parts, itself not.
+    # Offset up to which records were searched for parts, exclusive.
     scanned: int = 0
 
 
-def follow(state: states.State, batch: Batch, reader: Reader) -> Followed:
+def apply_batch(
+    state: states.State, batch: Batch, scan: CheckpointScan
+) -> FollowResult:
     """Folds a batch into the state, or adopts a checkpoint found in it."""
     if batch.first <= state.offset + 1:
         if batch.entries and batch.entries[0].offset > state.offset + 1:
-            # The answer to a read that began further on, for example because
-            # another thread moved the reading place. Folding it would leave
-            # out records that the source still has.
-            return Followed(state, state.offset + 1, changed=False, gap=False)
+            # The batch answers a read from a later offset, for example because
+            # another thread moved the read position. Folding it would skip
+            # records that the source still has.
+            return FollowResult(
+                state, state.offset + 1, changed=False, gap=False
+            )
         before = state.offset
         fold.apply_all(state, batch.entries)
-        _forget(reader)
-        return Followed(
+        _reset_scan(scan)
+        return FollowResult(
             state, state.offset + 1, state.offset > before, gap=False
         )
-    expected = max(reader.scanned, batch.first)
+    expected = max(scan.scanned, batch.first)
     start = batch.entries[0].offset if batch.entries else batch.next
     if start > expected:
-        # As above: going on behind this batch would pass over the records
-        # before it, and with them perhaps the only checkpoint.
-        return Followed(state, expected, changed=False, gap=True)
-    reader.scanned = max(expected, batch.next)
-    reader.parts.extend(
+        # As above: continuing after this batch would skip records before it,
+        # which may hold the only checkpoint.
+        return FollowResult(state, expected, changed=False, gap=True)
+    scan.scanned = max(expected, batch.next)
+    scan.parts.extend(
         e.record
         for e in batch.entries
         if isinstance(e.record, records.CheckpointPart)
     )
-    found = checkpoints.join(reader.parts)
+    found = checkpoints.join(scan.parts)
     if found is None or found.offset <= state.offset:
-        return Followed(state, reader.scanned, changed=False, gap=True)
+        return FollowResult(state, scan.scanned, changed=False, gap=True)
     if found.offset + 1 < batch.first:
-        # The snapshot is complete but the records after it have lapsed too:
-        # adopting it would leave out changes. A newer one may follow.
-        return Followed(state, reader.scanned, changed=False, gap=True)
-    _forget(reader)
-    return Followed(found, found.offset + 1, changed=True, gap=False)
+        # Some records after this snapshot have expired too, so adopting it
+        # would lose changes. A newer snapshot may follow.
+        return FollowResult(state, scan.scanned, changed=False, gap=True)
+    _reset_scan(scan)
+    return FollowResult(found, found.offset + 1, changed=True, gap=False)
 
 
-def _forget(reader: Reader) -> None:
-    reader.parts.clear()
-    reader.scanned = 0
+def _reset_scan(scan: CheckpointScan) -> None:
+    scan.parts.clear()
+    scan.scanned = 0
 
 
 def adopt(state: states.State, offered: states.State | None) -> states.State:
--- a/egretspur/intents/follower.py
+++ b/egretspur/intents/follower.py
@@ -1,8 +1,9 @@
-"""Threads that bring records to a control daemon, from the log or from peers.
+"""Threads that fetch records for a control daemon, from the log or from peers.
 
-The first few hosts of a data centre, by rank, hold a long poll open at the
-log; the others hear from peers and look at the log only now and then. Any of
-them can do without peers, and any can do without the log.
+The first few hosts of a data centre, by rank, keep a long poll open at the
+log. The others get records from peers and read the log only once in
+`fallback_s`. Each host stays up to date if either the log or its peers are
+reachable.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Longest wait of a poll at the log.
-POLL_S: Final = 5.0
+# Longest time that the log holds a poll open.
+LONG_POLL_S: Final = 5.0
 
-# Pause after the log did not answer; doubles up to the longest.
-PAUSE_S: Final = 0.2
-LONGEST_PAUSE_S: Final = 5.0
+# Backoff after the log did not answer; doubles up to the maximum.
+MIN_BACKOFF_S: Final = 0.2
+MAX_BACKOFF_S: Final = 5.0
 
 
 @attrs.frozen
@@ -41,8 +42,8 @@
 
 
 @attrs.frozen
-class _Ahead:
-    """A peer that has a higher offset."""
+class _PeerAhead:
+    """A peer with a higher offset."""
 
     address: str
     offset: int
@@ -67,13 +68,13 @@
         self._peers = peers
         self._get_rank = get_rank
         self._transport = transport.Transport(0.5, 3.0)
-        self._ahead: queue.Queue[_Ahead | None] = queue.Queue(64)
+        self._ahead: queue.Queue[_PeerAhead | None] = queue.Queue(64)
         self._stop = threading.Event()
         self._next = 1
         self._log_first = 1
         self._checkpoint = 0
         self._checkpoint_at_s = time.monotonic()
-        self._lapsed_at_s = 0.0
+        self._log_complete_at_s = 0.0
         # True while the log answers.
         self.log_reachable = False
         self._threads = [
@@ -82,12 +83,12 @@
         ]
 
     def start(self) -> None:
-        """Starts to follow."""
+        """Starts the threads."""
         for thread in self._threads:
             thread.start()
 
     def close(self) -> None:
-        """Stops following."""
+        """Stops the threads."""
         self._stop.set()
         try:
             self._ahead.put_nowait(None)
@@ -95,32 +96,34 @@
             pass
         self._transport.close()
 
-    def note_ahead(self, address: str, offset: int) -> None:
-        """Takes notice of a peer with a higher offset."""
+    def request_pull(self, address: str, offset: int) -> None:
+        """Queues a read of records from a peer with a higher offset."""
         try:
-            self._ahead.put_nowait(_Ahead(address, offset))
+            self._ahead.put_nowait(_PeerAhead(address, offset))
         except queue.Full:
-            _LOG.debug("too many peers ahead; one is passed over")
+            _LOG.debug(
+                "queue of peers with higher offsets is full; dropped one"
+            )
 
     def read_now(self) -> None:
-        """Reads what the log has, at once; after an append of our own."""
+        """Reads the log to its head without waiting, after an own append."""
         self._read_log(0.0)
 
     def _follow(self) -> None:
-        pause = PAUSE_S
+        pause = MIN_BACKOFF_S
         while not self._stop.is_set():
             is_follower = self._get_rank() < self._peers.followers
-            if self._read_log(POLL_S if is_follower else 0.0):
-                pause = PAUSE_S
+            if self._read_log(LONG_POLL_S if is_follower else 0.0):
+                pause = MIN_BACKOFF_S
                 self._write_checkpoint()
                 if not is_follower:
                     self._stop.wait(self._peers.fallback_s)
                 continue
             self._stop.wait(pause)
-            pause = min(pause * 2, LONGEST_PAUSE_S)
+            pause = min(pause * 2, MAX_BACKOFF_S)
 
     def _read_log(self, wait_s: float) -> bool:
-        """Reads to the head of the log; tells whether it answered."""
+        """Reads to the head of the log; returns False if it did not answer."""
         while not self._stop.is_set():
             res = self._client.read(records.STREAM, self._next, wait_s)
             if isinstance(res, errors.Refusal):
@@ -128,7 +131,7 @@
                 return False
             self.log_reachable = True
             self._log_first = res.first
-            position = self._config.take(make_batch(res))
+            position = self._config.apply_batch(make_batch(res))
             self._next = position.next
             if position.next >= res.head or not res.records:
                 if position.offset + 1 > res.head:
@@ -145,15 +148,15 @@
             self._checkpoint = checkpoint
             self._checkpoint_at_s = now
         if self._log_first <= checkpoint + 1:
-            self._lapsed_at_s = now
-        due = checkpoints.Due(
+            self._log_complete_at_s = now
+        due = checkpoints.CheckpointStatus(
             offset,
             checkpoint,
             now - self._checkpoint_at_s,
             self._retention_s,
             self._get_rank(),
             self._log_first,
-            now - self._lapsed_at_s,
+            now - self._log_complete_at_s,
         )
         if not checkpoints.is_due(due):
             return
@@ -161,8 +164,8 @@
             lambda s: checkpoints.split(s, self._name, _get_wall_ms())
         )
         for part in parts:
-            # Each part is an append of its own, so that one lost answer
-            # repeats one part; the id makes a repeat harmless.
+            # Each part is appended separately, so that after a lost answer
+            # only one part is sent again. The id makes the repeat harmless.
             value = records.CODEC.encode(part)
             res = logs.append_until(
                 lambda v=value: self._client.append(  # type: ignore[misc]
@@ -171,7 +174,9 @@
                 deadline_s=5.0,
             )
             if isinstance(res, errors.Refusal):
-                _LOG.warning("checkpoint not written: %s", res.reason)
+                _LOG.warning(
+                    "checkpoint not written, append failed: %s", res.reason
+                )
                 return
         _LOG.info(
             "checkpoint written",
@@ -188,7 +193,7 @@
             except codec.DecodeError as exc:
                 _LOG.warning("peer's records are malformed: %s", exc)
 
-    def _pull_from(self, ahead: _Ahead) -> None:
+    def _pull_from(self, ahead: _PeerAhead) -> None:
         offset = self._config.read(lambda s: s.offset)
         if ahead.offset <= offset:
             return
@@ -199,21 +204,22 @@
             return
         batch = load_batch(res.body)
         if batch.first <= offset + 1:
-            self._config.take(batch)
+            self._config.apply_batch(batch)
             return
         res = self._transport.call("GET", ahead.address, "/peer/snapshot")
         if isinstance(res, transport.Failed) or res.status != 200:
             return
         snapshot = codec.load(res.body, Snapshot)
-        self._config.offer(checkpoints.unpack(snapshot.packed))
+        self._config.adopt_state(checkpoints.unpack(snapshot.packed))
 
 
 def make_batch(read: logs.Slice) -> follow.Batch:
     """Returns records read from the log, decoded.
 
-    A record that can't be decoded was written by a newer version or by
-    someone else. It still takes its place, or every reader would ask for it
-    again for ever; it changes nothing, in every process of this version.
+    A record that can't be decoded was written by a newer version or by another
+    program. It is replaced by `records.Unreadable`, which keeps its offset, so
+    that readers proceed past it; it changes nothing in any process of this
+    version.
     """
     entries = []
     for offset, value in read.records:
@@ -260,7 +266,9 @@
             ),
         )
     except (TypeError, ValueError) as exc:
-        raise codec.DecodeError(f"not a batch: {exc}") from exc
+        raise codec.DecodeError(
+            f"batch of records is malformed: {exc}"
+        ) from exc
 
 
 def make_snapshot(state: states.State) -> Snapshot:
--- a/tests/intents/machine.py
+++ b/tests/intents/machine.py
@@ -1,10 +1,9 @@
-"""Fuzzing of the fold, following and checkpoints against an oracle.
+"""Fuzzes the fold, the reading of batches and checkpoints against an oracle.
 
-The oracle, in a few lines: the log's records in order are the only history;
-a process at offset n holds what folding the first n records gives; no process
-goes back; of plans whose writes meet at most one is confirmed from one base;
-routers never see a deployment that is not loaded everywhere it must be; what
-an operator was told is done stands in the log once.
+The oracle: a process at offset n holds the state folded from the first n
+records of the log. No process's offset decreases. Of plans that write the same
+key and were made from one base, at most one is confirmed. Bindings only refer
+to deployments that exist.
 """
 
 from __future__ import annotations
@@ -27,14 +26,14 @@
     """One control daemon's state."""
 
     state: states.State = attrs.Factory(states.State)
-    reader: follow.Reader = attrs.Factory(follow.Reader)
+    scan: follow.CheckpointScan = attrs.Factory(follow.CheckpointScan)
     next: int = 1
     cut_off: bool = False
 
 
 @attrs.define
 class Log:
-    """The log stand-in: keeps records for a limited time."""
+    """Simulated log that keeps records for a limited time."""
 
     entries: list[records.Entry] = attrs.Factory(list)
     first: int = 1
@@ -51,7 +50,7 @@
         return self.head - 1
 
     def read(self, start: int, limit: int) -> follow.Batch:
-        """Reads records as the service would."""
+        """Reads records like the log service."""
         start = max(start, self.first)
         found = tuple(self.entries[start - 1 : start - 1 + limit])
         following = found[-1].offset + 1 if found else start
@@ -59,23 +58,23 @@
 
 
 class IntentsMachine(stateful.RuleBasedStateMachine):
-    """Control daemons, one log, operators who race."""
+    """Control daemons, one log and racing operators."""
 
     def __init__(self) -> None:
         super().__init__()
         self.log = Log()
         self.processes = [Process() for _ in range(3)]
         self.numbers = 0
-        # Digest of the true state at each offset.
+        # State folded from all records, and its digest at each offset.
         self.truth = states.State()
         self.digests = {0: states.compute_digest(states.State())}
-        # Records an operator was told are done.
-        self.told: list[str] = []
+        # Records that were acknowledged to an operator.
+        self.acknowledged: list[str] = []
         self.confirmed: list[records.PlanMade] = []
 
     @stateful.rule(who=PROCESS, data=st.data())
     def plan(self, who: int, data: Any) -> None:
-        """An operator asks; the process plans from what it knows."""
+        """An operator creates an intent; a process plans from its state."""
         state = self.processes[who].state
         intent = records.Intent(
             self._make_id("i"),
@@ -127,7 +126,7 @@
 
     @stateful.rule(data=st.data(), times=st.integers(1, 2))
     def confirm(self, data: Any, times: int) -> None:
-        """An operator confirms, perhaps twice because an answer was lost."""
+        """An operator confirms a plan; the append may be repeated."""
         plan_id = self._draw_plan(data)
         if plan_id is None:
             return
@@ -146,7 +145,7 @@
 
     @stateful.rule(who=PROCESS)
     def take_lease(self, who: int) -> None:
-        """A process asks for the lease, from what it knows."""
+        """A process requests the lease, based on its own state."""
         lease = self.processes[who].state.leases.get("dc")
         self._append(
             records.LeaseTaken(
@@ -162,7 +161,7 @@
 
     @stateful.rule(who=PROCESS)
     def report_prepared(self, who: int) -> None:
-        """A process that thinks it holds the lease reports loads."""
+        """A process that holds the lease by its own state reports loads."""
         state = self.processes[who].state
         lease = state.leases.get("dc")
         if lease is None or lease.holder != f"c{who}":
@@ -182,21 +181,21 @@
 
     @stateful.rule(who=PROCESS, limit=st.integers(1, 20))
     def read_log(self, who: int, limit: int) -> None:
-        """A process reads some records, perhaps from behind."""
+        """A process reads some records from its read position."""
         process = self.processes[who]
         if not process.cut_off and not self.log.down:
             self._take(process, self.log.read(process.next, limit))
 
     @stateful.rule(who=PROCESS, start=st.integers(1, 10))
     def read_from_behind(self, who: int, start: int) -> None:
-        """A late answer to an old read arrives."""
+        """A late answer to an earlier read arrives."""
         process = self.processes[who]
         if not process.cut_off and not self.log.down:
             self._take(process, self.log.read(start, 5))
 
     @stateful.rule(who=PROCESS, other=PROCESS)
     def offer(self, who: int, other: int) -> None:
-        """A peer, stale or not, offers its state."""
+        """A peer, which may be stale, offers its state."""
         process = self.processes[who]
         packed = checkpoints.pack(self.processes[other].state)
         state = follow.adopt(process.state, checkpoints.unpack(packed))
@@ -206,7 +205,7 @@
 
     @stateful.rule(who=PROCESS, lost=st.booleans())
     def write_checkpoint(self, who: int, lost: bool) -> None:
-        """A process writes a checkpoint, perhaps only a part of it."""
+        """A process writes a checkpoint; its last part may be lost."""
         state = self.processes[who].state
         if not state.offset or self.log.down:
             return
@@ -216,7 +215,7 @@
 
     @stateful.rule(count=st.integers(1, 30))
     def lapse(self, count: int) -> None:
-        """Old records lapse, but not past the last complete checkpoint."""
+        """Old records expire, but not past the last complete checkpoint."""
         checkpoint = self.truth.checkpoint
         self.log.first = max(
             self.log.first, min(self.log.first + count, checkpoint + 1)
@@ -224,29 +223,29 @@
 
     @stateful.rule(who=PROCESS)
     def restart(self, who: int) -> None:
-        """A process is replaced; its successor knows nothing."""
+        """A process is replaced by one with an empty state."""
         self.processes[who] = Process()
 
     @stateful.rule(who=PROCESS)
     def cut_off(self, who: int) -> None:
-        """A process loses or regains the log."""
+        """Toggles whether a process reaches the log."""
         self.processes[who].cut_off = not self.processes[who].cut_off
 
     @stateful.rule()
     def toggle_log(self) -> None:
-        """The log goes away or comes back."""
+        """Toggles whether the log is available."""
         self.log.down = not self.log.down
 
     @stateful.invariant()
     def states_are_true(self) -> None:
-        """Checks that every process holds a state of the one history."""
+        """Checks each process's state against the oracle at its offset."""
         for process in self.processes:
             digest = states.compute_digest(process.state)
             assert digest == self.digests[process.state.offset], process
 
     @stateful.invariant()
     def nothing_is_half_applied(self) -> None:
-        """Checks bindings, uses and confirmed plans of the true state."""
+        """Checks bindings, uses and confirmed plans of the oracle."""
         state = self.truth
         for binding in state.bindings.values():
             for name in binding.deployments:
@@ -264,7 +263,7 @@
 
     @stateful.invariant()
     def racing_plans_do_not_both_win(self) -> None:
-        """Checks plans that write one key from one base."""
+        """Checks confirmed plans that write one key from one base."""
         seen: dict[tuple[str, int], str] = {}
         for plan in self.truth.plans.values():
             if not plan.confirmed_offset:
@@ -278,7 +277,7 @@
                 seen[key, plan.confirmed_offset] = plan.plan.plan_id
 
     def teardown(self) -> None:
-        """Lets all reach the head: the same state everywhere."""
+        """Lets all processes read to the head and compares their states."""
         self.log.down = False
         for process in self.processes:
             process.cut_off = False
@@ -291,7 +290,7 @@
 
     def _take(self, process: Process, batch: follow.Batch) -> None:
         before = process.state.offset
-        found = follow.follow(process.state, batch, process.reader)
+        found = follow.apply_batch(process.state, batch, process.scan)
         assert found.state.offset >= before
         process.state = found.state
         process.next = found.next
@@ -299,7 +298,7 @@
     def _append(self, record: records.Record) -> None:
         if self.log.down:
             return
-        # As in the log service: only what JSON keeps comes back.
+        # Records pass through JSON, as in the log service.
         record = records.CODEC.decode(records.CODEC.encode(record))
         offset = self.log.append(record)
         entry = records.Entry(offset, record)
--- a/tests/steps/follow_steps.py
+++ b/tests/steps/follow_steps.py
@@ -43,13 +43,13 @@
 @given("a process that has folded {count:d} records")
 def step_process(context: Any, count: int) -> None:
     context.state = copy.deepcopy(context.states[count])
-    context.reader = follow.Reader()
+    context.reader = follow.CheckpointScan()
     context.next = count + 1
 
 
 def take(context: Any, batch: follow.Batch) -> None:
     """Lets the process take a batch."""
-    found = follow.follow(context.state, batch, context.reader)
+    found = follow.apply_batch(context.state, batch, context.reader)
     context.state, context.next = found.state, found.next
 
 
