--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -446,7 +446,7 @@
                 time.sleep(pause)
             fut: claim_actor.VerdictFuture = claim_actor.make_future()
             claim = claim_table.Claim(f"c{number}", f"w/desk/{number}", "b")
-            ref.tell(claim_actor.Submit(claim, fut))
+            ref.tell(claim_actor.SubmitClaim(claim, fut))
             pending.append(fut)
         for fut in pending:
             assert isinstance(fut.result(10), claim_table.Granted)
--- a/egretspur/claims/__init__.py
+++ b/egretspur/claims/__init__.py
@@ -1,1 +1,1 @@
-"""At most one run of a call that must not be repeated."""
+"""Runs calls to services; non-repeatable ones at most once."""
--- a/egretspur/claims/actor.py
+++ b/egretspur/claims/actor.py
@@ -1,8 +1,8 @@
 """Actor that appends claims in batches and reads them back.
 
-One partition's claims that arrive while an append is under way go together
-into the next one, so that appends stay few however many calls there are. Read
-`egretspur.claims.table` for who wins.
+Claims of one partition that arrive during an append are batched into the next
+one, which limits the rate of appends under load. Read next:
+`egretspur.claims.table`, which decides which claim wins.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Partitions of the claim streams; fixed, since it decides where a key is.
+# Partitions of the claims. Fixed, since it determines the partition of a key.
 PARTITIONS: Final = 16
 
-# Shortest time between two appends to one partition by one host.
-FLUSH_S: Final = 0.02
+# Shortest time between two appends by one host to one partition.
+FLUSH_INTERVAL_S: Final = 0.02
 
-# Times an append and its read-back are tried before a claim is given up.
-TRIES: Final = 4
+# Attempts at an append and its read-back before a claim is refused.
+APPEND_ATTEMPTS: Final = 4
 
 VerdictFuture = concurrent.futures.Future[table.Granted | table.Taken | None]
 
 
 @attrs.frozen
-class Submit:
-    """A claim with the future for its verdict."""
+class SubmitClaim:
+    """Submits a claim; the future gets its verdict."""
 
     claim: table.Claim
     fut: VerdictFuture
 
 
 @attrs.frozen
-class Drop:
-    """A claim whose call was not sent."""
+class ReleaseClaim:
+    """Releases a claim whose call was not sent."""
 
     claim: table.Claim
 
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class ClaimReply:
-    """Its verdict: ``granted``, ``taken`` or ``unavailable``."""
+    """Verdict on a claim: ``granted``, ``taken`` or ``unavailable``."""
 
     verdict: str
     by: str
@@ -67,7 +67,7 @@
 
 @attrs.frozen
 class _Flush:
-    """Time to append what has gathered."""
+    """Appends the pending claims and releases."""
 
 
 class PartitionActor(actors.Actor):
@@ -78,8 +78,8 @@
         self._stream = table.make_stream(number)
         self._client = client
         self._partition = table.Partition()
-        self._pending: list[Submit] = []
-        self._dropped: list[table.Claim] = []
+        self._pending: list[SubmitClaim] = []
+        self._releases: list[table.Claim] = []
         self._scheduled = False
 
     @functools.singledispatchmethod
@@ -88,47 +88,46 @@
         raise actors.make_unknown_message_error(message)
 
     @handle.register
-    def _(self, message: Submit) -> None:
+    def _(self, message: SubmitClaim) -> None:
         self._pending.append(message)
-        self._schedule()
+        self._schedule_flush()
 
     @handle.register
-    def _(self, message: Drop) -> None:
-        self._dropped.append(message.claim)
-        self._schedule()
+    def _(self, message: ReleaseClaim) -> None:
+        self._releases.append(message.claim)
+        self._schedule_flush()
 
     @handle.register
     def _(self, message: _Flush) -> None:
         self._scheduled = False
         batch, self._pending = self._pending, []
-        dropped, self._dropped = self._dropped, []
-        verdicts = self._decide(batch, dropped)
+        released, self._releases = self._releases, []
+        verdicts = self._decide(batch, released)
         for item in batch:
             if not item.fut.done():
                 item.fut.set_result(verdicts.get(item.claim.id))
 
-    def _schedule(self) -> None:
+    def _schedule_flush(self) -> None:
         if not self._scheduled:
             self._scheduled = True
-            timer = threading.Timer(FLUSH_S, self._tell_flush)
+            timer = threading.Timer(FLUSH_INTERVAL_S, self._send_flush)
             timer.daemon = True
             timer.start()
 
-    def _tell_flush(self) -> None:
+    def _send_flush(self) -> None:
         if self.actor_ref.is_alive():
             self.actor_ref.tell(_Flush())
 
     def _decide(
-        self, batch: list[Submit], dropped: list[table.Claim]
+        self, batch: list[SubmitClaim], released: list[table.Claim]
     ) -> dict[str, table.Granted | table.Taken]:
         records: list[table.Claim | table.Release] = [s.claim for s in batch]
-        records += [table.Release(c.id, c.key, c.by) for c in dropped]
+        records += [table.Release(c.id, c.key, c.by) for c in released]
         values = [table.CODEC.encode(r) for r in records]
         found: dict[str, table.Granted | table.Taken] = {}
-        for attempt in range(TRIES):
-            # The append is repeated if its answer is lost. Its claims may
-            # then stand in the log twice; the ids are the same, so the second
-            # changes nothing.
+        for attempt in range(APPEND_ATTEMPTS):
+            # The append is retried if its answer is lost. The log may then
+            # hold its claims twice; the second is ignored by its id.
             res = self._client.append(self._stream, values)
             self._read()
             for submit in batch:
@@ -156,7 +155,7 @@
 
 
 class Claims:
-    """Front of the claim slice for request threads of one router."""
+    """Claims calls for the request threads of one router."""
 
     def __init__(self, name: str, client: logs.LogClient) -> None:
         self._name = name
@@ -176,13 +175,13 @@
         self._client.close()
 
     def set_routers(self, routers: dict[str, str]) -> None:
-        """Takes the addresses of all routers of the data centre, by host."""
+        """Sets the addresses of the data centre's routers, by host."""
         self._routers = routers
 
     def claim(
         self, claim: table.Claim
     ) -> table.Granted | table.Taken | errors.Refusal:
-        """Asks whether a call may be sent; blocks until it is decided."""
+        """Claims a call; blocks until it is decided whether it may be sent."""
         number = table.find_partition(claim.key, PARTITIONS)
         hosts = sorted({self._name, *self._routers})
         owner = table.find_owner(number, hosts)
@@ -190,15 +189,15 @@
             verdict = self._ask_owner(self._routers[owner], claim)
             if verdict is not None:
                 return verdict
-        return self.claim_here(claim)
+        return self.decide_locally(claim)
 
-    def claim_here(
+    def decide_locally(
         self, claim: table.Claim
     ) -> table.Granted | table.Taken | errors.Refusal:
-        """Decides a claim on this host, whoever serves its partition."""
+        """Decides a claim here, even if another host serves its partition."""
         number = table.find_partition(claim.key, PARTITIONS)
         fut = make_future()
-        self._get_actor(number).tell(Submit(claim, fut))
+        self._get_actor(number).tell(SubmitClaim(claim, fut))
         verdict = fut.result()
         if verdict is None:
             return errors.Refusal(
@@ -208,14 +207,14 @@
             )
         return verdict
 
-    def drop(self, claim: table.Claim) -> None:
-        """Gives a claim back, so that the caller may send its id again.
+    def release(self, claim: table.Claim) -> None:
+        """Releases a claim, so that the caller may send its id again.
 
-        Only for a call that was not sent. Until the log has the release the
-        id stays taken, which is safe.
+        Only for a call that was not sent. The id stays taken until the release
+        is in the log, which is safe.
         """
         number = table.find_partition(claim.key, PARTITIONS)
-        self._get_actor(number).tell(Drop(claim))
+        self._get_actor(number).tell(ReleaseClaim(claim))
 
     def _ask_owner(
         self, address: str, claim: table.Claim
@@ -246,10 +245,10 @@
     return concurrent.futures.Future()
 
 
-def describe_verdict(
+def make_reply(
     verdict: table.Granted | table.Taken | errors.Refusal,
 ) -> ClaimReply:
-    """Returns a verdict as it is sent to another host."""
+    """Returns a verdict in the form that is sent to another host."""
     if isinstance(verdict, table.Granted):
         return ClaimReply("granted", "")
     if isinstance(verdict, table.Taken):
--- a/egretspur/claims/calls.py
+++ b/egretspur/claims/calls.py
@@ -1,8 +1,9 @@
 """Calls to plain services, repeatable or not.
 
-A repeatable call is tried at another replica while the budget of tries lasts.
-One that must not be repeated is claimed in the log first and sent once; if its
-answer is lost, the service is asked for the outcome, where it can tell.
+A repeatable call that fails is tried at another replica, up to a limit of
+attempts. A non-repeatable call is claimed in the log and sent once. If its
+answer is lost, the service is queried for the outcome, where it has a path for
+that.
 """
 
 from __future__ import annotations
@@ -24,25 +25,25 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Replicas a repeatable call is tried at.
-TRIES: Final = 2
+# Attempts at a repeatable call.
+CALL_ATTEMPTS: Final = 2
 
 
 @attrs.frozen
 class Call:
-    """A caller's call with who it is from."""
+    """A call with its workspace and request id."""
 
     workspace: str
     service: str
-    # The caller's id, or one made for it.
+    # The caller's id, or one that the router generated.
     request_id: str
-    # False if the id was made here: nothing can arrive twice under it.
-    has_own_id: bool
+    # False if the id was generated here, so that no other call can have it.
+    has_caller_id: bool
     call: services.ServiceCall
 
     @property
     def fingerprint(self) -> str:
-        """By what the same call is known again under another id."""
+        """Identifies the same call under another request id."""
         sent = self.call
         return fingerprint.compute(
             self.workspace, self.service, sent.method, sent.path, sent.body
@@ -51,7 +52,7 @@
 
 @attrs.frozen
 class Answered:
-    """The service's answer and the replica it came from."""
+    """The service's answer and the replica that sent it."""
 
     reply: transport.Reply
     upstream: str
@@ -78,7 +79,7 @@
         self._client = client
 
     def run(self, call: Call) -> Result:
-        """Runs one call and returns its answer or why there is none."""
+        """Runs one call; returns its answer, or a refusal with the reason."""
         opts = self._opts.get(call.service)
         if opts is None:
             return errors.Refusal(
@@ -87,7 +88,7 @@
         if self._traffic.is_quarantined(call.fingerprint):
             return errors.Refusal(
                 errors.ErrorKind.QUARANTINED,
-                "replicas ended under it before",
+                "replicas crashed under this call before",
                 quarantine.RETRY_AFTER_S,
             )
         if is_never_repeated(opts, call.call.method, call.call.path):
@@ -96,24 +97,24 @@
 
     def _run_repeatable(self, call: Call) -> Result:
         last: transport.Failed | None = None
-        closed: list[str] = []
+        limited: list[str] = []
         replicas = self._traffic.get_replicas(call.service)
-        # A single replica is tried again: its first connection may have been
-        # forgotten by something in between, and the pool is emptied by now.
-        for upstream in (replicas * TRIES)[:TRIES]:
+        # A single replica is tried twice: a middlebox may have dropped the
+        # pooled connection of the first attempt, and the pool is empty by now.
+        for upstream in (replicas * CALL_ATTEMPTS)[:CALL_ATTEMPTS]:
             if not self._traffic.acquire_permit(upstream.name):
-                closed.append(upstream.name)
+                limited.append(upstream.name)
                 continue
             res = self._client.call(upstream.address, call.call)
-            self._note_call(upstream, call, res)
+            self._report_call(upstream, call, res)
             if not isinstance(res, transport.Failed):
-                self._note(upstream, res)
+                self._report_result(upstream, res)
                 return Answered(res, upstream.name)
             if not res.is_timeout or last is not None:
-                self._note(upstream, res)
+                self._report_result(upstream, res)
             last = res
-        if last is None and closed:
-            return self._refuse_limited(call.service, closed)
+        if last is None and limited:
+            return self._refuse_limited(call.service, limited)
         if last is None:
             return _refuse_no_replica(call)
         return errors.Refusal(
@@ -128,9 +129,9 @@
         replicas = self._traffic.get_replicas(call.service)
         if not replicas:
             return _refuse_no_replica(call)
-        if not call.has_own_id:
-            # The id was made here a moment ago: no other arrival can have it,
-            # so there is nothing to agree on and nothing to append.
+        if not call.has_caller_id:
+            # No other arrival can have an id that was generated here, so the
+            # call needs no claim.
             return self._send_once(call, opts, replicas, None)
         claim = table.Claim(
             f"{self._name}-{uuid.uuid4().hex}",
@@ -139,15 +140,15 @@
         )
         verdict = self._claims.claim(claim)
         if isinstance(verdict, table.Taken):
-            return self._answer_taken(call, opts, replicas, verdict)
+            return self._resolve_taken_claim(call, opts, replicas, verdict)
         if isinstance(verdict, errors.Refusal):
             if opts.log_outage != "run":
-                # The claim may stand in the log although its answer was
-                # lost. Nothing was sent under it and nothing will be.
-                self._claims.drop(claim)
+                # The log may hold the claim although the append's answer was
+                # lost. It is released, since its call is not sent.
+                self._claims.release(claim)
                 return verdict
             _LOG.warning(
-                "call sent without a claim",
+                "claims unavailable; call sent without a claim",
                 extra={"request": call.request_id, "service": call.service},
             )
         return self._send_once(call, opts, replicas, claim)
@@ -159,40 +160,41 @@
         replicas: list[tables.Upstream],
         claim: table.Claim | None,
     ) -> Result:
-        closed: list[str] = []
+        limited: list[str] = []
         for upstream in replicas:
             if not self._traffic.acquire_permit(upstream.name):
-                closed.append(upstream.name)
+                limited.append(upstream.name)
                 continue
             res = self._client.call(upstream.address, call.call)
-            self._note(upstream, res)
-            self._note_call(upstream, call, res)
+            self._report_result(upstream, res)
+            self._report_call(upstream, call, res)
             if not isinstance(res, transport.Failed):
                 return Answered(res, upstream.name)
             if res.maybe_sent:
-                return self._answer_lost(call, opts, upstream, res)
+                return self._resolve_lost_answer(call, opts, upstream, res)
         if claim is not None:
-            self._claims.drop(claim)
-        if closed:
-            return self._refuse_limited(call.service, closed)
+            self._claims.release(claim)
+        if limited:
+            return self._refuse_limited(call.service, limited)
         return errors.Refusal(
             errors.ErrorKind.NO_ROUTE,
-            "no replica accepts connections",
+            "no replica accepted a connection",
             retry_after_s=1.0,
         )
 
-    def _answer_lost(
+    def _resolve_lost_answer(
         self,
         call: Call,
         opts: settings.ServiceSettings,
         upstream: tables.Upstream,
         failed: transport.Failed,
     ) -> Result:
-        """Asks for the outcome of a call whose answer was lost.
+        """Queries the outcome of a call whose answer was lost.
 
-        The replica it was sent to is asked first, then the others: replicas
-        of one service usually share what they know. It is never sent again,
-        even if none has seen it: it may still be on its way.
+        The replica that the call was sent to is queried first, then the
+        others, since replicas of one service usually share their state. The
+        call is never sent again, even if no replica knows it: it may still be
+        in transit.
         """
         others = self._traffic.get_replicas(call.service)
         asked = [upstream, *(u for u in others if u.name != upstream.name)]
@@ -205,7 +207,7 @@
             ask_for=call.request_id,
         )
 
-    def _answer_taken(
+    def _resolve_taken_claim(
         self,
         call: Call,
         opts: settings.ServiceSettings,
@@ -240,21 +242,21 @@
             return Answered(res, upstream.name)
         return None
 
-    def _refuse_limited(self, service: str, closed: list[str]) -> Result:
-        """Refuses a call that no replica takes now, by what they ask for."""
+    def _refuse_limited(self, service: str, limited: list[str]) -> Result:
+        """Refuses a call, with the delay that the limited replicas ask for."""
         return errors.Refusal(
             errors.ErrorKind.UPSTREAM_LIMITED,
-            f"{len(closed)} replicas at their limits, or in backoff",
-            self._traffic.get_retry_after_s(service, tuple(closed)),
+            f"{len(limited)} replicas at their limits, or in backoff",
+            self._traffic.get_retry_after_s(service, tuple(limited)),
         )
 
-    def _note_call(
+    def _report_call(
         self,
         upstream: tables.Upstream,
         call: Call,
         res: transport.Reply | transport.Failed,
     ) -> None:
-        """Tells how a call ended that the replica may have begun to run."""
+        """Reports the end of a call that the replica may have begun to run."""
         is_answered = not isinstance(res, transport.Failed)
         if isinstance(res, transport.Failed) and not res.maybe_sent:
             return
@@ -262,7 +264,7 @@
             traffics.NoteCall(upstream.name, call.fingerprint, is_answered)
         )
 
-    def _note(
+    def _report_result(
         self,
         upstream: tables.Upstream,
         res: transport.Reply | transport.Failed,
@@ -280,7 +282,7 @@
 def is_never_repeated(
     opts: settings.ServiceSettings, method: str, path: str
 ) -> bool:
-    """Tells whether settings name a call as one not to be repeated."""
+    """Returns True if the settings list a call as non-repeatable."""
     call = f"{method} {path.partition('?')[0]}"
     return any(call.startswith(prefix) for prefix in opts.never_repeat)
 
--- a/egretspur/claims/table.py
+++ b/egretspur/claims/table.py
@@ -1,9 +1,9 @@
-"""Who may run a call that must not be repeated: pure fold of claim records.
+"""Decides which host may run a non-repeatable call: a pure fold of claims.
 
-Claims stand in partitions of the platform's log, by hash of their key. The
-first claim of a key in a partition's offset order wins. Which host appends and
-reads a partition is a matter of cost only: a host with a wrong view of that
-still has to read its own claim back before it grants anything.
+Claims are stored in partitions of the platform's log, by hash of their key. The
+first claim of a key, by offset, wins. Having one host append and read a
+partition only saves work: a host with a wrong view of the owner must still read
+its own claim back before it grants the call.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 from egretspur import codec
 
-# Claims remembered per partition; older ones are forgotten, and with them the
-# protection of their ids. At the target's rates this is over an hour.
-KEYS_KEPT: Final = 100_000
+# Claims kept per partition. An id is no longer protected once its claim is
+# evicted, which takes over an hour at the target rates.
+KEYS_MAX: Final = 100_000
 
 
 @attrs.frozen
 class Claim:
-    """A host wants to run the call with this key."""
+    """A host requests to run the call with this key."""
 
-    # Unique per arrival at an entry host; the same if its append is repeated.
+    # Unique per arrival at an entry host; the same if its append is retried.
     id: str
     # Workspace, service and the caller's request id.
     key: str
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Release:
-    """A host that had a claim did not send its call and never will."""
+    """A host gives up a claim whose call it has not sent and won't send."""
 
     id: str
     key: str
@@ -59,7 +59,7 @@
     # Offset of the last record folded.
     offset: int = 0
     owners: dict[str, Owner] = attrs.Factory(dict)
-    # Claim ids released; a late repeat of their append must not count again.
+    # Released claim ids; a late repeat of their append must take no effect.
     released: dict[str, int] = attrs.Factory(dict)
 
 
@@ -70,14 +70,14 @@
 
 @attrs.frozen
 class Taken:
-    """Another arrival of the same id holds the key."""
+    """Another arrival with the same key holds it."""
 
     by: str
 
 
 @attrs.frozen
 class Unread:
-    """The claim has not been read back; nothing is decided."""
+    """The claim has not been read back yet."""
 
 
 Verdict = Granted | Taken | Unread
@@ -93,16 +93,16 @@
         partition.released[record.id] = offset
         if owner is not None and owner.claim_id == record.id:
             del partition.owners[record.key]
-        _limit(partition.released)
+        _evict_oldest(partition.released)
         return
     if record.id in partition.released or record.key in partition.owners:
         return
     partition.owners[record.key] = Owner(record.id, record.by, offset)
-    _limit(partition.owners)
+    _evict_oldest(partition.owners)
 
 
 def decide(partition: Partition, claim: Claim) -> Verdict:
-    """Tells whether a claim that was appended may run."""
+    """Decides a claim from the records read so far."""
     if claim.id in partition.released:
         return Taken(claim.by)
     owner = partition.owners.get(claim.key)
@@ -122,7 +122,7 @@
 def find_owner(partition: int, hosts: list[str]) -> str:
     """Returns the host that serves a partition in this view of the hosts.
 
-    Rendezvous hashing: when a host comes or goes only its partitions move.
+    Rendezvous hashing: if a host joins or leaves, only its partitions move.
     """
     return max(
         hosts,
@@ -137,6 +137,6 @@
     return f"claims-{partition}"
 
 
-def _limit(kept: dict[str, Owner] | dict[str, int]) -> None:
-    if len(kept) > KEYS_KEPT:
+def _evict_oldest(kept: dict[str, Owner] | dict[str, int]) -> None:
+    if len(kept) > KEYS_MAX:
         del kept[next(iter(kept))]
--- a/egretspur/daemons/router.py
+++ b/egretspur/daemons/router.py
@@ -254,8 +254,8 @@
 
     def _claim(self, req: web.Request) -> web.Response:
         message = codec.load(req.read_body(), claim_actor.ClaimCall)
-        verdict = self._claims.claim_here(message.claim)
-        return web.reply_json(claim_actor.describe_verdict(verdict))
+        verdict = self._claims.decide_locally(message.claim)
+        return web.reply_json(claim_actor.make_reply(verdict))
 
     def _check_request(self, req: web.Request) -> errors.Refusal | None:
         """Returns why a request is refused before it is read, if it is."""
