--- a/tests/claims/machine.py
+++ b/tests/claims/machine.py
@@ -1,8 +1,7 @@
-"""Fuzzing of claims against an oracle.
+"""Fuzzes claims against an oracle.
 
-The oracle, in a few lines: of all arrivals of one id, at any hosts, at most
-one is sent; a released claim is never sent; a granted verdict is repeated to
-the same claim only.
+The oracle: of all arrivals of one id, at any hosts, at most one is sent. A
+released claim is never sent. A key is only granted again to the same claim.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
     """One arrival of a call at a host."""
 
     claim: table.Claim
-    # Host that appends and decides for it; views of that may differ.
+    # Host that appends and decides the claim; hosts may disagree on it.
     host: int
     sent: bool = False
     released: bool = False
@@ -40,27 +39,27 @@
 
     @stateful.rule(host=HOST, key=st.sampled_from(["order-1", "order-2"]))
     def arrive(self, host: int, key: str) -> None:
-        """A call arrives, perhaps for the second time."""
+        """A call arrives; its id may have arrived before."""
         claim = table.Claim(f"claim{len(self.arrivals)}", key, f"h{host}")
         self.arrivals.append(Arrival(claim, host))
 
     @stateful.rule(data=st.data(), times=st.integers(0, 2))
     def append(self, data: Any, times: int) -> None:
-        """A claim is appended; its answer may be lost and it is repeated."""
+        """A claim is appended, twice if the answer is lost, or not at all."""
         arrival = self._draw(data)
         if arrival is not None and not arrival.released:
             self.log.extend([arrival.claim] * times)
 
     @stateful.rule(data=st.data(), host=HOST)
     def ask_another(self, data: Any, host: int) -> None:
-        """A host with another view of the owner takes the claim over."""
+        """A host with another view of the owner decides the claim."""
         arrival = self._draw(data)
         if arrival is not None:
             arrival.host = host
 
     @stateful.rule(host=HOST, count=st.integers(1, 5))
     def read(self, host: int, count: int) -> None:
-        """A host reads some of the partition."""
+        """A host reads some records of the partition."""
         partition = self.hosts[host]
         at = partition.offset
         for offset in range(at + 1, min(at + count, len(self.log)) + 1):
@@ -78,7 +77,7 @@
 
     @stateful.rule(host=HOST, key=st.sampled_from(["order-1", "order-2"]))
     def run_through(self, host: int, key: str) -> None:
-        """A call arrives and is claimed, read back and decided."""
+        """A call arrives, is claimed and read back, and is decided."""
         self.arrive(host, key)
         arrival = self.arrivals[-1]
         self.log.append(arrival.claim)
@@ -89,7 +88,7 @@
 
     @stateful.rule(data=st.data(), late=st.booleans())
     def give_up(self, data: Any, late: bool) -> None:
-        """A host gives up an arrival that it has not sent."""
+        """A host releases an arrival that it has not sent."""
         arrival = self._draw(data)
         if arrival is None or arrival.sent:
             return
@@ -101,14 +100,14 @@
 
     @stateful.rule(data=st.data())
     def repeat_late(self, data: Any) -> None:
-        """An append that was thought lost takes effect after all."""
+        """An append that seemed lost takes effect later."""
         arrival = self._draw(data)
         if arrival is not None:
             self.log.append(arrival.claim)
 
     @stateful.rule(host=HOST)
     def replace_host(self, host: int) -> None:
-        """A host is replaced: it reads the partition anew."""
+        """A host is replaced; the new one has read nothing."""
         self.hosts[host] = table.Partition()
         for arrival in self.arrivals:
             if arrival.host == host and not arrival.sent:
@@ -116,14 +115,14 @@
 
     @stateful.invariant()
     def runs_at_most_once(self) -> None:
-        """Checks the sends of each key."""
+        """Checks that each key was sent at most once."""
         for key in ("order-1", "order-2"):
             sent = [a for a in self.arrivals if a.sent and a.claim.key == key]
             assert len(sent) <= 1, sent
 
     @stateful.invariant()
     def released_keys_are_free(self) -> None:
-        """Checks that no key is held by a claim that was given back."""
+        """Checks that no key is held by a released claim."""
         for partition in self.hosts:
             for owner in partition.owners.values():
                 assert owner.claim_id not in partition.released, owner
--- a/tests/intents/checkpoints.feature
+++ b/tests/intents/checkpoints.feature
@@ -1,8 +1,8 @@
-Feature: Records lapse, the configuration does not
+Feature: The configuration outlives expired records
 
-  Scenario: A new process reads a checkpoint after the records lapsed
-    # Symptom: after a quiet day a new host finds an empty log. Cause: no
-    # checkpoint before the retention ends.
+  Scenario: A new process reads a checkpoint after the records expired
+    # Guards against a new host that finds an empty log after a day without
+    # changes, because no checkpoint was written within the retention period.
     Given two hosts before a log that keeps records for 4 s
     And an intent in force in "kl-hall"
     When 8 s pass
@@ -10,9 +10,8 @@
     Then it holds the intent
 
   Scenario: An outage longer than the retention
-    # Symptom: the configuration is lost with its last checkpoint. Sequence:
-    # the log is out until everything in it has lapsed. Cause: nobody writes
-    # the last copy back.
+    # Guards against loss of the configuration: the log is unavailable until all
+    # its records have expired, and no process writes its state back.
     Given two hosts before a log that keeps records for 4 s
     And an intent in force in "kl-hall"
     When the log is out for 6 s
@@ -20,10 +19,10 @@
     And every control daemon is killed and one starts anew
     Then it holds the intent
 
-  Scenario: The last copy comes from a peer that began with a checkpoint
-    # Symptom: a host that starts in an outage stays empty although a peer has
-    # the state. Sequence: the peer began with a checkpoint and so has no old
-    # records to hand on; the log is out. Cause: asking peers for records only.
+  Scenario: A peer that started from a checkpoint provides its state
+    # Guards against a host that starts during an outage of the log and stays
+    # empty. Its peer started from a checkpoint, so it has the state but not the
+    # old records; the host must request a snapshot and not only records.
     Given two hosts before a log that keeps records for 4 s
     And an intent in force in "kl-hall"
     When 8 s pass
--- a/tests/intents/fuzz.feature
+++ b/tests/intents/fuzz.feature
@@ -1,10 +1,10 @@
 @fuzz
-Feature: One history, however it is read
+Feature: All control daemons fold the same state
 
-  Scenario: Control daemons hold the same history in seeded histories
-    # Symptom: two hosts disagree, a change comes undone, two plans both win.
-    # Sequence: racing operators, repeated appends, stale peers, reads from
-    # behind, partial checkpoints, lapsed records, restarts, outages.
-    # Cause: whichever guard of the fold or of following is missing.
+  Scenario: Control daemons hold equal states in random histories
+    # Guards against hosts that disagree, changes that are reverted and
+    # conflicting plans that are both confirmed, with racing operators, repeated
+    # appends, stale peers, late reads, partial checkpoints, expired records,
+    # restarts and outages.
     When the intents machine runs 120 histories of 50 steps
     Then the oracle found nothing
--- a/tests/intents/outages.feature
+++ b/tests/intents/outages.feature
@@ -1,4 +1,4 @@
-Feature: Outages, cut-off data centres, restarts
+Feature: Outages, partitioned data centres, restarts
 
   Background:
     Given two data centres with two entry hosts each
@@ -8,9 +8,9 @@
     When an operator confirms a further intent
     Then it is in force in every router within 5 s
 
-  Scenario: The log is out for a while
-    # Symptom: serving stops with the platform. Cause: a request path that
-    # needs the log.
+  Scenario: The log is unavailable for a while
+    # Guards against request paths that need the log, so that an outage of the
+    # platform stops serving.
     When the log is down
     Then callers in both data centres are served
     And "status" warns that the data centres are cut off
@@ -19,22 +19,23 @@
     Then it is in force in every router within 5 s
 
   Scenario: A control daemon starts during an outage
-    # Symptom: a replaced host has no configuration until the log is back.
-    # Cause: the log as the only source.
+    # Guards against a replaced host that has no configuration until the log is
+    # back, because it reads from the log only.
     When the log is down
     And control daemon "kl-2" and its router are replaced
     Then the replaced router serves callers
 
-  Scenario: A router outlives its control daemon and nothing reverts
-    # Symptom: a change comes undone when a daemon restarts. Sequence: the
-    # daemon is replaced while the log is down and its peers are gone. Cause: a
-    # router that takes a table older than its own.
+  Scenario: A router keeps serving without its control daemon
+    # Guards against changes that are reverted when a daemon restarts: it is
+    # replaced while the log is down and its peers are gone, and its router
+    # accepts a table older than its own.
     When the log is down
     And all control daemons are killed
     Then callers in both data centres are served
 
   Scenario: One data centre is cut off from the platform and the other
-    # Symptom: a cut-off data centre reverts or floods on rejoining.
+    # Guards against a data centre that reverts changes or floods the others with
+    # messages when it rejoins.
     When data centre "pg-hall" is cut off from the log
     And an operator confirms a further intent for "kl-hall"
     Then callers in both data centres are served
--- a/tests/intents/races.feature
+++ b/tests/intents/races.feature
@@ -1,13 +1,13 @@
-Feature: Racing operators and lost answers
+Feature: Concurrent operators and lost answers
 
   Background:
     Given two data centres with two entry hosts each
 
   Scenario: Two operators confirm plans that conflict
-    # Symptom: two shifts both believe their change is in force. Sequence: two
-    # plans are made from one state, on the same hosts, at two control daemons;
-    # both are confirmed at once. Cause: a confirmation that is not checked
-    # against what the plan read.
+    # Guards against two operators who are both answered that their change is in
+    # force: two control daemons make plans for the same hosts from one state,
+    # both plans are confirmed at once, and the confirmation is not checked
+    # against the keys that the plan read.
     When operators "ann" and "bo" make conflicting plans and confirm at once
     Then exactly one confirmation wins
     And the other is told which intent came first, with exit code 1
@@ -23,9 +23,9 @@
     And "history" shows the conflict
 
   Scenario: The answers to appends are lost
-    # Symptom: a confirmation is counted twice or reported as failed though it
-    # holds. Sequence: the log takes the record, its answer is lost. Cause: no
-    # id, or no read-back.
+    # Guards against a confirmation that is applied twice, or reported as failed
+    # though it took effect: the log appends the record and its answer is lost.
+    # Ids detect the repeat, and the read-back shows the outcome.
     When the log loses the answers to 3 appends
     And an operator puts an intent in force
     Then the history shows it asked, planned, confirmed and in force once each
@@ -37,14 +37,13 @@
     When the log is back
     Then the outcome of that id can be looked up
 
-  Scenario: A plan that can't be met says so
+  Scenario: A plan lists the requirements that can't be met
     When an operator asks for a version that the weight store doesn't have
     Then the plan says what is not met and nothing can be confirmed
 
   Scenario: A plan is withdrawn while it loads
-    # Symptom: the next shift inherits half a change. Sequence: a plan is
-    # confirmed and withdrawn before its loads are done. Cause: loads nobody
-    # undoes.
+    # Guards against layers that stay loaded when a confirmed plan is withdrawn
+    # before its loads are done.
     When a slow plan is confirmed and withdrawn
     Then no engine keeps layers of it
     And "history" shows who withdrew it
