--- a/egretspur/intents/actor.py
+++ b/egretspur/intents/actor.py
@@ -75,7 +75,7 @@
         self._on_change = on_change
         self._state = states.State()
         self._scan = follow.CheckpointScan()
-        self._next = 1
+        self._next_offset = 1
         self._gap = False
         self._recent: collections.deque[records.Entry] = collections.deque(
             maxlen=RECENT_RECORDS_MAX
@@ -95,7 +95,7 @@
         before = self._state.offset
         result = follow.apply_batch(self._state, message.batch, self._scan)
         self._state = result.state
-        self._next = result.next
+        self._next_offset = result.next
         self._gap = result.gap
         for entry in message.batch.entries:
             if before < entry.offset <= self._state.offset:
@@ -110,7 +110,7 @@
         if state is not self._state:
             _LOG.info("adopted a peer's state", extra={"offset": state.offset})
             self._state = state
-            self._next = state.offset + 1
+            self._next_offset = state.offset + 1
             self._gap = False
             self._recent.clear()
             self._on_change(state)
@@ -124,7 +124,7 @@
         return follow.Batch(first, head, head, tuple(kept))
 
     def _get_position(self) -> Position:
-        return Position(self._state.offset, self._next, self._gap)
+        return Position(self._state.offset, self._next_offset, self._gap)
 
 
 class Config:
--- a/egretspur/intents/checkpoints.py
+++ b/egretspur/intents/checkpoints.py
@@ -36,7 +36,7 @@
 
     # Offset folded, and base offset of the last complete checkpoint.
     offset: int
-    checkpoint: int
+    checkpoint_offset: int
     # Seconds since this process saw a complete checkpoint appear.
     age_s: float
     retention_s: float
@@ -44,9 +44,9 @@
     # wait longer, so that usually one process writes.
     rank: int
     # Offset of the oldest record still in the log.
-    log_first: int
+    log_first_offset: int
     # Seconds since the log last held every record after the checkpoint.
-    lapsed_s: float
+    log_incomplete_s: float
 
 
 # Delay per rank before a follower writes back a state whose records have
@@ -54,20 +54,20 @@
 WRITE_BACK_DELAY_S: Final = 1.0
 
 
-def is_due(due: CheckpointStatus) -> bool:
+def is_due(status: CheckpointStatus) -> bool:
     """Returns True if this process should append a checkpoint now."""
-    behind = due.offset - due.checkpoint
+    behind = status.offset - status.checkpoint_offset
     if behind <= 0:
         return False
-    if due.log_first > due.checkpoint + 1:
+    if status.log_first_offset > status.checkpoint_offset + 1:
         # After an outage longer than the retention period, the state can no
         # longer be rebuilt from the log and this may be the last copy. It is
         # written back without waiting for the usual interval.
-        return due.lapsed_s >= WRITE_BACK_DELAY_S * due.rank
-    rank_factor = 1.0 + 0.5 * due.rank
+        return status.log_incomplete_s >= WRITE_BACK_DELAY_S * status.rank
+    rank_factor = 1.0 + 0.5 * status.rank
     if behind > MAX_RECORDS_BEHIND * rank_factor:
         return True
-    return due.age_s > due.retention_s * MAX_AGE_RATIO * rank_factor
+    return status.age_s > status.retention_s * MAX_AGE_RATIO * rank_factor
 
 
 def split(
--- a/egretspur/intents/desk.py
+++ b/egretspur/intents/desk.py
@@ -104,9 +104,9 @@
 class OperatorCommands:
     """Runs operators' commands on one control daemon."""
 
-    def __init__(self, name: str, sources: Dependencies) -> None:
+    def __init__(self, name: str, deps: Dependencies) -> None:
         self._name = name
-        self._sources = sources
+        self._deps = deps
 
     def create_intent(self, new: NewIntent) -> PlanView | errors.Refusal:
         """Records an intent and returns its plan."""
@@ -134,13 +134,13 @@
 
     def make_plan(self, intent_id: str, by: str) -> PlanView | errors.Refusal:
         """Makes and records a plan for an intent."""
-        snapshot = self._sources.config.read(copy_for_planning)
-        owner = snapshot.intents.get(intent_id)
-        if owner is None:
+        snapshot = self._deps.config.read(copy_for_planning)
+        intent_state = snapshot.intents.get(intent_id)
+        if intent_state is None:
             return errors.Refusal(
                 errors.ErrorKind.NOT_FOUND, f"intent {intent_id}"
             )
-        inputs = self._collect_planner_inputs(snapshot, owner.intent)
+        inputs = self._collect_planner_inputs(snapshot, intent_state.intent)
         if isinstance(inputs, errors.Refusal):
             return inputs
         plan_id = _make_id("p")
@@ -208,7 +208,7 @@
 
     def get_plan(self, plan_id: str) -> PlanView | errors.Refusal:
         """Returns a plan."""
-        view = self._sources.config.read(lambda s: view_plan(s, plan_id))
+        view = self._deps.config.read(lambda s: view_plan(s, plan_id))
         if view is None:
             return errors.Refusal(
                 errors.ErrorKind.NOT_FOUND,
@@ -218,12 +218,12 @@
 
     def get_intents(self) -> list[IntentView]:
         """Returns all intents, oldest first."""
-        return self._sources.config.read(view_intents)
+        return self._deps.config.read(view_intents)
 
     def get_record(self, record_id: str) -> int:
         """Returns the offset of a recent record; 0 if it is not found."""
-        self._sources.read_now()
-        return self._sources.config.read(lambda s: s.ids.get(record_id, 0))
+        self._deps.read_now()
+        return self._deps.config.read(lambda s: s.ids.get(record_id, 0))
 
     def _check_status(
         self, plan_id: str, allowed: set[states.PlanStatus]
@@ -247,7 +247,7 @@
         """
         value = records.CODEC.encode(record)
         res = logs.append_until(
-            lambda: self._sources.log.append(records.STREAM, [value]),
+            lambda: self._deps.log.append(records.STREAM, [value]),
             APPEND_TIMEOUT_S,
         )
         end = time.monotonic() + READ_BACK_TIMEOUT_S
@@ -256,8 +256,8 @@
             # log is read a little longer to find out.
             end = time.monotonic() + 0.5
         while True:
-            self._sources.read_now()
-            offset = self._sources.config.read(lambda s: s.ids.get(record.id))
+            self._deps.read_now()
+            offset = self._deps.config.read(lambda s: s.ids.get(record.id))
             if offset is not None:
                 return offset
             if time.monotonic() >= end:
@@ -277,7 +277,7 @@
     def _collect_planner_inputs(
         self, state: states.State, intent: records.Intent
     ) -> planner.Inputs | errors.Refusal:
-        found_spec = self._sources.weight_store.read(intent.model)
+        found_spec = self._deps.weight_store.read(intent.model)
         spec: weights.ModelSpec | None = None
         if not isinstance(found_spec, errors.Refusal):
             spec = found_spec
@@ -285,7 +285,7 @@
             return found_spec
         hosts: list[hostlist.Host] = []
         for data_centre in intent.data_centres:
-            found = self._sources.get_hosts(data_centre)
+            found = self._deps.get_hosts(data_centre)
             if isinstance(found, errors.Refusal):
                 return found
             hosts.extend(found)
@@ -363,7 +363,7 @@
     """Returns the steps of a plan in order: load, switch, unload."""
     steps = []
     for deployment in made.deployments:
-        weights_name = _name_weights(deployment)
+        weights_name = _describe_weights(deployment)
         for chain in deployment.chains:
             for stage in chain.stages:
                 steps.append(
@@ -403,7 +403,7 @@
     return steps
 
 
-def _name_weights(deployment: records.Deployment) -> str:
+def _describe_weights(deployment: records.Deployment) -> str:
     name = f"{deployment.model} {deployment.version}"
     return f"{name} with {deployment.adapter}" if deployment.adapter else name
 
--- a/egretspur/intents/fold.py
+++ b/egretspur/intents/fold.py
@@ -193,7 +193,7 @@
         deployment, record.dead, record.spare
     )
     state.routing_offset = offset
-    # A repair changes both upstreams, so a plan that read either of them is
+    # A repair changes the two upstreams, so a plan that read either of them is
     # refused at its confirmation and can't load layers on both.
     keys = [records.upstream_key(n) for n in (record.dead, record.spare)]
     _record_changes(state, keys, offset, f"repair of {record.deployment_id}")
@@ -339,9 +339,9 @@
         if state.uses[name]:
             continue
         del state.uses[name]
-        gone = state.deployments.pop(name, None)
-        if gone is not None:
-            key = records.deployments_key(gone, gone.data_centre)
+        removed = state.deployments.pop(name, None)
+        if removed is not None:
+            key = records.deployments_key(removed, removed.data_centre)
             _record_changes(state, [key], offset, made.intent_id)
 
 
--- a/egretspur/intents/follower.py
+++ b/egretspur/intents/follower.py
@@ -68,17 +68,19 @@
         self._peers = peers
         self._get_rank = get_rank
         self._transport = transport.Transport(0.5, 3.0)
-        self._ahead: queue.Queue[_PeerAhead | None] = queue.Queue(64)
+        self._peers_ahead: queue.Queue[_PeerAhead | None] = queue.Queue(64)
         self._stop = threading.Event()
-        self._next = 1
-        self._log_first = 1
-        self._checkpoint = 0
+        self._next_offset = 1
+        self._log_first_offset = 1
+        self._checkpoint_offset = 0
         self._checkpoint_at_s = time.monotonic()
         self._log_complete_at_s = 0.0
         # True while the log answers.
         self.log_reachable = False
         self._threads = [
-            threading.Thread(target=self._follow, name="follow", daemon=True),
+            threading.Thread(
+                target=self._follow_log, name="follow", daemon=True
+            ),
             threading.Thread(target=self._pull, name="pull", daemon=True),
         ]
 
@@ -91,7 +93,7 @@
         """Stops the threads."""
         self._stop.set()
         try:
-            self._ahead.put_nowait(None)
+            self._peers_ahead.put_nowait(None)
         except queue.Full:
             pass
         self._transport.close()
@@ -99,7 +101,7 @@
     def request_pull(self, address: str, offset: int) -> None:
         """Queues a read of records from a peer with a higher offset."""
         try:
-            self._ahead.put_nowait(_PeerAhead(address, offset))
+            self._peers_ahead.put_nowait(_PeerAhead(address, offset))
         except queue.Full:
             _LOG.debug(
                 "queue of peers with higher offsets is full; dropped one"
@@ -109,7 +111,7 @@
         """Reads the log to its head without waiting, after an own append."""
         self._read_log(0.0)
 
-    def _follow(self) -> None:
+    def _follow_log(self) -> None:
         pause = MIN_BACKOFF_S
         while not self._stop.is_set():
             is_follower = self._get_rank() < self._peers.followers
@@ -125,14 +127,14 @@
     def _read_log(self, wait_s: float) -> bool:
         """Reads to the head of the log; returns False if it did not answer."""
         while not self._stop.is_set():
-            res = self._client.read(records.STREAM, self._next, wait_s)
+            res = self._client.read(records.STREAM, self._next_offset, wait_s)
             if isinstance(res, errors.Refusal):
                 self.log_reachable = False
                 return False
             self.log_reachable = True
-            self._log_first = res.first
+            self._log_first_offset = res.first
             position = self._config.apply_batch(make_batch(res))
-            self._next = position.next
+            self._next_offset = position.next
             if position.next >= res.head or not res.records:
                 if position.offset + 1 > res.head:
                     _LOG.warning("the log's head is behind this host's state")
@@ -144,10 +146,10 @@
         offset, checkpoint = self._config.read(
             lambda s: (s.offset, s.checkpoint)
         )
-        if checkpoint != self._checkpoint:
-            self._checkpoint = checkpoint
+        if checkpoint != self._checkpoint_offset:
+            self._checkpoint_offset = checkpoint
             self._checkpoint_at_s = now
-        if self._log_first <= checkpoint + 1:
+        if self._log_first_offset <= checkpoint + 1:
             self._log_complete_at_s = now
         due = checkpoints.CheckpointStatus(
             offset,
@@ -155,7 +157,7 @@
             now - self._checkpoint_at_s,
             self._retention_s,
             self._get_rank(),
-            self._log_first,
+            self._log_first_offset,
             now - self._log_complete_at_s,
         )
         if not checkpoints.is_due(due):
@@ -185,7 +187,7 @@
 
     def _pull(self) -> None:
         while not self._stop.is_set():
-            ahead = self._ahead.get()
+            ahead = self._peers_ahead.get()
             if ahead is None:
                 return
             try:
