--- a/egretspur/claims/actor.py
+++ b/egretspur/claims/actor.py
@@ -75,7 +75,7 @@
 
     def __init__(self, number: int, client: logs.LogClient) -> None:
         super().__init__()
-        self._stream = table.make_stream(number)
+        self._stream = table.make_stream_name(number)
         self._client = client
         self._partition = table.Partition()
         self._pending: list[SubmitClaim] = []
--- a/egretspur/claims/calls.py
+++ b/egretspur/claims/calls.py
@@ -67,13 +67,13 @@
     def __init__(
         self,
         name: str,
-        opts: tuple[settings.ServiceSettings, ...],
+        service_settings: tuple[settings.ServiceSettings, ...],
         traffic: traffics.Traffic,
         claims: claim_actor.Claims,
         client: services.ServiceClient,
     ) -> None:
         self._name = name
-        self._opts = {o.name: o for o in opts}
+        self._opts = {o.name: o for o in service_settings}
         self._traffic = traffic
         self._claims = claims
         self._client = client
@@ -91,8 +91,8 @@
                 "replicas crashed under this call before",
                 quarantine.RETRY_AFTER_S,
             )
-        if is_never_repeated(opts, call.call.method, call.call.path):
-            return self._run_once(call, opts)
+        if is_non_repeatable(opts, call.call.method, call.call.path):
+            return self._run_non_repeatable(call, opts)
         return self._run_repeatable(call)
 
     def _run_repeatable(self, call: Call) -> Result:
@@ -125,7 +125,9 @@
             retry_after_s=1.0,
         )
 
-    def _run_once(self, call: Call, opts: settings.ServiceSettings) -> Result:
+    def _run_non_repeatable(
+        self, call: Call, opts: settings.ServiceSettings
+    ) -> Result:
         replicas = self._traffic.get_replicas(call.service)
         if not replicas:
             return _refuse_no_replica(call)
@@ -279,7 +281,7 @@
         )
 
 
-def is_never_repeated(
+def is_non_repeatable(
     opts: settings.ServiceSettings, method: str, path: str
 ) -> bool:
     """Returns True if the settings list a call as non-repeatable."""
--- a/egretspur/claims/table.py
+++ b/egretspur/claims/table.py
@@ -132,7 +132,7 @@
     )
 
 
-def make_stream(partition: int) -> str:
+def make_stream_name(partition: int) -> str:
     """Returns the name of a partition's stream in the log."""
     return f"claims-{partition}"
 
