--- a/tests/steps/follow_steps.py
+++ b/tests/steps/follow_steps.py
@@ -1,4 +1,4 @@
-"""Steps on following a log in one process."""
+"""Steps about one process that applies batches of a log."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @given(
-    "a log of {count:d} records whose first {gone:d} have lapsed, with a"
+    "a log of {count:d} records whose first {gone:d} have expired, with a"
     " checkpoint at {place:d}"
 )
 def step_log(context: Any, count: int, gone: int, place: int) -> None:
@@ -33,7 +33,7 @@
 
 
 def read(context: Any, start: int) -> follow.Batch:
-    """Returns what the log has from an offset on."""
+    """Returns the log's records from an offset on."""
     start = max(start, context.first)
     found = tuple(context.entries[start - 1 :])
     head = len(context.entries) + 1
@@ -48,35 +48,35 @@
 
 
 def take(context: Any, batch: follow.Batch) -> None:
-    """Lets the process take a batch."""
+    """Applies a batch to the process's state."""
     found = follow.apply_batch(context.state, batch, context.reader)
     context.state, context.next = found.state, found.next
 
 
-@when("a batch from {start:d} on comes")
+@when("a batch that starts at offset {start:d} arrives")
 def step_batch(context: Any, start: int) -> None:
     take(context, read(context, start))
 
 
-@when("it reads on to the head")
+@when("it reads to the head")
 def step_read(context: Any) -> None:
     for _ in range(5):
         take(context, read(context, context.next))
 
 
-@when("a peer offers its state at {offset:d}")
+@when("a peer offers its state at offset {offset:d}")
 def step_offer(context: Any, offset: int) -> None:
     packed = checkpoints.pack(context.states[offset])
     context.state = follow.adopt(context.state, checkpoints.unpack(packed))
 
 
-@then("it still stands at {offset:d} and reads on from {following:d}")
+@then("its offset is still {offset:d} and it reads from {following:d} next")
 def step_stands(context: Any, offset: int, following: int) -> None:
     assert context.state.offset == offset, context.state.offset
     assert context.next == following, context.next
 
 
-@then("it stands at {offset:d}")
+@then("its offset is {offset:d} and its state equals the log's")
 def step_at(context: Any, offset: int) -> None:
     assert context.state.offset == offset, context.state.offset
     digests = [
