--- a/egretspur/daemons/__init__.py
+++ b/egretspur/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Thin mains of the long-running processes."""
+"""Entry points of the long-running processes."""
--- a/egretspur/daemons/base.py
+++ b/egretspur/daemons/base.py
@@ -1,4 +1,4 @@
-"""What the mains of all daemons share: arguments, settings, signals."""
+"""Code shared by the daemons' entry points: arguments, settings, signals."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class Daemon(Protocol):
-    """A process with an explicit life."""
+    """A process that is started, drained and closed."""
 
     # Address it listens on, known after `start`.
     address: str
 
     def start(self) -> None:
-        """Starts to serve."""
+        """Starts serving."""
 
     def drain(self) -> None:
-        """Finishes what is in flight; returns when done."""
+        """Completes the work in flight, then returns."""
 
     def close(self) -> None:
         """Stops everything."""
@@ -37,10 +37,10 @@
 def read_settings(
     prog: str, description: str, argv: Sequence[str] | None, cls: type[T]
 ) -> T | int:
-    """Parses the command line and reads the settings it names.
+    """Parses the command line and reads the settings file that it names.
 
     Returns:
-        The settings, or the exit code; mistakes are printed.
+        The settings, or the exit code after printing the mistakes in them.
     """
     parser = argparse.ArgumentParser(prog=prog, description=description)
     parser.add_argument(
@@ -56,7 +56,7 @@
 
 
 def run_daemon(daemon: Daemon, node: settings.NodeSettings) -> int:
-    """Runs a daemon until a signal, then drains and closes it."""
+    """Runs a daemon until SIGTERM or SIGINT, then drains and closes it."""
     handler = logs.start_logging(node.name, node.log_level)
     stop = threading.Event()
     signal.signal(signal.SIGTERM, lambda signum, frame: stop.set())
--- a/egretspur/daemons/control.py
+++ b/egretspur/daemons/control.py
@@ -1,7 +1,7 @@
 """``egretspur-control``: entry point of the control daemon.
 
-Thin: it makes the process lean before anything large is imported. Read next:
-`egretspur.daemons.controller`.
+To save memory it blocks the import of modules that the daemon can do without,
+before it imports the rest. Read next: `egretspur.daemons.controller`.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 STACK_BYTES: Final = 256 * 1024
 
-# Modules kept out of the process. The control daemon speaks plain HTTP only;
-# the libraries it uses do without TLS if it can't be imported, and hashlib
-# falls back to its own code. This saves 4.8 of the 32 MB it may have.
+# Modules whose import is blocked. The control daemon uses plain HTTP only; its
+# libraries work without TLS if it can't be imported, and hashlib falls back to
+# its own code. This saves 4.8 MB of the daemon's limit of 32 MB.
 LEFT_OUT: Final = ("ssl", "_hashlib")
 
 
@@ -33,7 +33,7 @@
     if isinstance(cfg, int):
         return cfg
     leave_out_modules()
-    # Imported only now: the import pulls in what was left out otherwise.
+    # Imported after the block, since it would import the blocked modules.
     from egretspur.daemons import controller
 
     threading.stack_size(STACK_BYTES)
@@ -41,7 +41,7 @@
 
 
 def leave_out_modules() -> None:
-    """Makes the import of modules that are not needed fail at once."""
+    """Makes the import of modules that are not needed fail."""
     modules: dict[str, Any] = sys.modules
     for name in LEFT_OUT:
         if name not in modules:
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -1,7 +1,7 @@
-"""The control daemon: follows the log, talks to peers, gives orders.
+"""The control daemon: follows the log, syncs with peers, gives orders.
 
-One on every entry host, all alike. Joins the slices; holds no decisions of
-its own.
+One runs on every entry host, and all run the same code. This module connects
+the components and serves the HTTP API; decisions are made in the components.
 """
 
 from __future__ import annotations
@@ -33,21 +33,21 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Request threads: one is held by the router's standing report.
+# Threads that serve requests; the router's long poll occupies one of them.
 THREADS: Final = 6
 
-# Longest hold of a router's report.
+# Limit on the time that a router's report waits for a change.
 REPORT_WAIT_S: Final = 1.0
 
 # Seconds between two reads of the platform's host list.
 HOSTS_S: Final = 1.0
 
-# History lines returned by default.
+# Default number of history lines in an answer.
 HISTORY_LINES: Final = 200
 
 
 class Control:
-    """One control process."""
+    """A control daemon."""
 
     def __init__(self, cfg: settings.ControlSettings) -> None:
         self._cfg = cfg
@@ -112,7 +112,7 @@
         ]
 
     def start(self) -> None:
-        """Starts to serve."""
+        """Starts serving."""
         self._server.start()
         self._refresh_hosts()
         self._follower.start()
@@ -120,7 +120,7 @@
             thread.start()
 
     def drain(self) -> None:
-        """Stops being ready; operators' commands are answered at once."""
+        """Stops being ready; waits for nothing, as commands take no time."""
         self._draining.set()
         self._server.drain()
 
@@ -137,7 +137,7 @@
         self._weights.close()
         self._hosts_client.close()
 
-    # Pages.
+    # HTTP handlers.
 
     def _make_app(self) -> web.App:
         app = web.App()
@@ -211,8 +211,8 @@
             )
             for n in view.nodes
         ]
-        heard = {h.name for h in hosts}
-        missing = sorted(n for n in self._get_listed() if n not in heard)
+        known = {h.name for h in hosts}
+        missing = sorted(n for n in self._get_listed() if n not in known)
         return web.reply_json(
             statuses.Status(
                 self._cfg.node.data_centre,
@@ -240,7 +240,7 @@
         return "; ".join(parts)
 
     def _is_fed(self) -> bool:
-        """Tells whether any host of the data centre reads the log."""
+        """Returns whether any host of the data centre can read the log."""
         return any(n.news.log_reachable for n in self._get_view().nodes)
 
     def _get_history(self, req: web.Request) -> web.Response:
@@ -259,7 +259,7 @@
         return web.reply_json(self._list_held())
 
     def _release_held(self, req: web.Request) -> web.Response:
-        """Has all routers send a request again, as if it were answered."""
+        """Has all routers accept a quarantined request again."""
         name = req.parts["fingerprint"]
         operator = _get_operator(req)
         held = next(
@@ -271,7 +271,8 @@
             )
         self._members.tell(members.AddCrashes({name: {}}))
         _LOG.info(
-            "request let go", extra={"fingerprint": name, "operator": operator}
+            "request released from quarantine",
+            extra={"fingerprint": name, "operator": operator},
         )
         return web.reply_json(held)
 
@@ -286,8 +287,8 @@
         if report.limits:
             self._members.tell(members.AddLimits(report.limits))
         self._tell_node(self._config.read(lambda s: s.offset))
-        # A report of version 0 wants its answer at once: it only carries an
-        # urgent mark, or the router has just started.
+        # A report of version 0 is answered without waiting: it only carries an
+        # urgent leaving mark, or the router has just started.
         if report.version:
             self._changes.wait(report.version, REPORT_WAIT_S)
         return web.reply_json(self._make_update(report))
@@ -320,7 +321,7 @@
         )
 
     def _get_listed(self) -> list[str]:
-        """Returns this data centre's entry hosts by the platform's list."""
+        """Returns this data centre's entry hosts in the platform's list."""
         return [
             h.name
             for h in self._hosts.get_entry().values()
@@ -382,18 +383,18 @@
         has_state = self._config.read(lambda s: s.offset) > 0
         return has_state and not self._draining.is_set()
 
-    # Events.
+    # Callbacks of components.
 
     def _note_config(self, state: states.State) -> None:
         offset = state.offset
         if state.routing_offset != self._routing_offset:
-            # Leases and plans under way are most of the records and no news
-            # to routers; a table for each would be most of the work.
+            # Most records are leases and plans in progress, which don't change
+            # routing; making a table for each would be most of the work.
             self._routing_offset = state.routing_offset
             self._changes.bump_table()
         self._offset_gauge.set({}, offset)
-        # Runs in the config actor's thread: asking that actor for anything
-        # here would wait for ever.
+        # Runs in the config actor's thread, so a query to that actor here
+        # would deadlock.
         is_urgent = state.news_offset != self._news_offset
         self._news_offset = state.news_offset
         self._tell_node(offset, is_urgent)
@@ -407,7 +408,7 @@
     def _append(self, record: records.Record) -> bool:
         res = self._log.append(records.STREAM, [records.CODEC.encode(record)])
         if isinstance(res, errors.Refusal):
-            _LOG.warning("append not answered: %s", res.reason)
+            _LOG.warning("append to the log not confirmed: %s", res.reason)
             return False
         return True
 
@@ -439,7 +440,8 @@
         self._members.tell(members.Tick())
 
     def _tick_orders(self) -> None:
-        # Asked, not told: ticks must not pile up behind a slow engine.
+        # Waits for the actor, so that ticks don't queue up behind a slow
+        # engine.
         actors.ask(self._orders, orders.Tick())
 
     def _tell_node(self, offset: int, is_urgent: bool = False) -> None:
@@ -466,7 +468,7 @@
 
 
 class _Versions:
-    """Numbers of what routers are told, to be waited for."""
+    """Version numbers of the state sent to routers; reports wait on them."""
 
     def __init__(self) -> None:
         self._condition = threading.Condition()
@@ -474,19 +476,19 @@
         self.table_version = 1
 
     def bump(self) -> None:
-        """Counts a change of marks or demand."""
+        """Counts a change other than of the table, and wakes waiters."""
         with self._condition:
             self.version += 1
             self._condition.notify_all()
 
     def bump_table(self) -> None:
-        """Counts a change of the table."""
+        """Counts a change of the routing table, and wakes waiters."""
         with self._condition:
             self.table_version += 1
         self.bump()
 
     def wait(self, version: int, wait_s: float) -> None:
-        """Waits until the version is another one."""
+        """Waits until the version differs from `version`, or `wait_s`."""
         with self._condition:
             self._condition.wait_for(
                 lambda: self.version != version, timeout=wait_s
@@ -494,7 +496,7 @@
 
 
 class _Periodic:
-    """A thread that does one thing again and again."""
+    """A thread that calls a function periodically."""
 
     def __init__(
         self, name: str, period_s: float, work: Callable[[], None]
@@ -511,7 +513,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Stops it after what it is doing."""
+        """Stops the thread after its current call."""
         self._stop.set()
 
     def _run(self) -> None:
@@ -521,7 +523,7 @@
             except Exception:
                 if self._stop.is_set():
                     return
-                _LOG.exception("periodic work failed")
+                _LOG.exception("periodic task failed")
 
 
 def _read_status(
--- a/egretspur/daemons/duties.py
+++ b/egretspur/daemons/duties.py
@@ -1,9 +1,9 @@
-"""Which duty of a process takes its processor time, for the metrics.
+"""Processor time of a process by duty, that is by kind of thread, for metrics.
 
-Each duty has threads of its own, named after it; the system counts a thread's
-processor time anyway, so that asking costs nothing until someone asks. Where
-the processor is short an operator sees what takes it. Read next:
-`egretspur.daemons.pages`.
+Each duty has threads of its own, named after it. The operating system counts
+the processor time of each thread anyway, so there is no cost until the metrics
+are read. Where the processor is overloaded, they show an operator by what. Read
+next: `egretspur.daemons.pages`.
 """
 
 from __future__ import annotations
@@ -13,10 +13,11 @@
 from collections.abc import Mapping
 from typing import Final
 
-# Of what threads used that have ended since: those of the streams, mostly.
+# Duty that stands for all threads that have ended, mostly those of streams.
 ENDED: Final = "ended"
 
-# Duties whose threads' names are of other makers, by the start of the name.
+# Duties of threads that libraries or the interpreter name, by prefix of the
+# name.
 _NAMES: Final = {
     "MainThread": "main",
     "DeskActor": "decisions",
@@ -31,13 +32,13 @@
         duty = name_duty(thread.name)
         seconds[duty] = seconds.get(duty, 0.0) + _read_thread(thread)
     ended_s = time.process_time() - sum(seconds.values())
-    # The two clocks are read one after the other.
+    # The clocks are read one after the other: the difference may be negative.
     seconds[ENDED] = max(0.0, ended_s)
     return seconds
 
 
 def name_duty(thread: str) -> str:
-    """Returns the duty of a thread, by its name: ``probe_3`` is ``probe``."""
+    """Returns the duty of a thread from its name: ``probe_3`` is ``probe``."""
     for start, duty in _NAMES.items():
         if thread.startswith(start):
             return duty
@@ -51,5 +52,5 @@
         clock = time.pthread_getcpuclockid(thread.ident)
         return time.clock_gettime(clock)
     except OSError:
-        # It has ended meanwhile.
+        # The thread has ended in the meantime.
         return 0.0
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -1,7 +1,7 @@
-"""What a host follows in the store, and hands to whoever needs it.
+"""Follows the store's topics and applies their changes to the host.
 
-Three topics: the configuration, the list of upstreams, and the requests in
-quarantine. Each is read from other hosts where they have it
+There are three topics: the configuration, the list of upstreams, and the
+quarantined requests. Each is read from other hosts if they have it
 (`egretspur.catalog.handover`). Read next: `egretspur.catalog.feeds`.
 """
 
@@ -34,20 +34,20 @@
 
 
 class Hosts(Protocol):
-    """The other hosts, as far as reading the store needs them."""
+    """What reading the store needs to know of the other hosts."""
 
     def is_reader(self) -> bool:
-        """Tells whether this host reads the store for its data centre."""
+        """Returns whether this host reads the store for its data centre."""
 
     def list_newest(self) -> list[str]:
         """Returns the hosts that have the newest configuration."""
 
     def list_alive(self) -> list[str]:
-        """Returns the hosts that are heard now, the reader near by first."""
+        """Returns the live hosts, this data centre's reader first."""
 
 
 class ConfigSink:
-    """Takes configurations from the feed."""
+    """Applies configurations from the feed."""
 
     def __init__(self, take: Callable[[config.Configuration], None]) -> None:
         self._take = take
@@ -55,7 +55,7 @@
     def take_whole(
         self, values: Mapping[str, config.Configuration | feeds.Unreadable]
     ) -> None:
-        """Takes the newest configuration."""
+        """Applies the newest configuration."""
         self.take_changes(tuple(values.items()))
 
     def take_changes(
@@ -64,28 +64,28 @@
             tuple[str, config.Configuration | feeds.Unreadable | None], ...
         ],
     ) -> None:
-        """Takes newer configurations; one that can't be read changes none."""
+        """Applies newer configurations; ignores one that can't be read."""
         for _, cfg in values:
             if isinstance(cfg, config.Configuration):
                 self._take(cfg)
 
     def note_contact(self, is_back: bool) -> None:
-        """Nothing depends on when the configuration was last asked for."""
+        """Does nothing: no decision depends on when the store last answered."""
 
 
 class UpstreamsSink:
-    """Takes the list of upstreams from the feed."""
+    """Passes the list of upstreams from the feed to the broker's desk."""
 
     def __init__(self, to: desk.Desk) -> None:
         self._desk = to
         self.has_list = False
-        # When the store itself last answered, on the monotonic clock.
+        # Monotonic time of the store's last answer.
         self.answered_s = -math.inf
 
     def take_whole(
         self, values: Mapping[str, upstreams.Upstream | feeds.Unreadable]
     ) -> None:
-        """Takes the whole list."""
+        """Replaces the list."""
         self._desk.tell(desk.ReplaceUpstreams(values))
         self.has_list = True
 
@@ -95,43 +95,48 @@
             tuple[str, upstreams.Upstream | feeds.Unreadable | None], ...
         ],
     ) -> None:
-        """Takes changes."""
+        """Applies changes to the list."""
         self._desk.tell(desk.ChangeUpstreams(values))
 
     def note_contact(self, is_back: bool) -> None:
-        """Starts the grace for entries that lapsed during an outage."""
+        """Starts the grace period of entries that lapsed during an outage."""
         self.answered_s = time.monotonic()
         self._desk.tell(desk.StoreAnswered(is_back))
 
 
 @attrs.frozen
 class Neighbours:
-    """How other hosts are asked for what they have read."""
+    """How topics are read from other hosts."""
 
     hosts: Hosts
     ask: handover.AskHost
-    # Those to ask before anyone is heard.
+    # Lists the hosts to ask until updates of others have arrived.
     list_at_start: handover.ListHosts
 
 
 class CopyAccount:
-    """Joins what became of each topic at a copy of the store, for the log.
+    """Logs in one line how all topics changed as a copy replaced the store.
 
-    Used by the threads of all feeds; a dict's methods are atomic.
+    The threads of all feeds use it without a lock, since a dict's methods are
+    atomic.
     """
 
     def __init__(self, topics: int) -> None:
-        """Makes an account that waits for so many topics."""
+        """Makes an object without reports.
+
+        Args:
+            topics: Number of topics whose reports make up a log line.
+        """
         self._topics = topics
         self._reports: dict[int, dict[str, tables.CopyReport[Any]]] = {}
 
     def add(self, report: tables.CopyReport[Any]) -> None:
-        """Takes a topic's report, and logs them once all are there."""
+        """Adds a topic's report; logs all reports once they are complete."""
         reports = self._reports.setdefault(report.era, {})
         reports[report.topic] = report
         if len(reports) < self._topics:
             return
-        # A copy that was followed by another one is not completed.
+        # Reports on earlier copies stay incomplete if another copy followed.
         for era in [e for e in self._reports if e <= report.era]:
             self._reports.pop(era, None)
         names = slice(decisions.NAMED)
@@ -147,7 +152,7 @@
 
 
 class Followed:
-    """The feeds of a host."""
+    """The feeds of a host, one for each topic."""
 
     def __init__(
         self,
@@ -161,12 +166,13 @@
         """Makes feeds that have read nothing.
 
         Args:
-            store: Where the topics are.
-            near: The other hosts.
-            to: Takes upstreams and requests in quarantine.
-            configure: Takes configurations.
-            saver: Writes requests in quarantine.
-            limits: How long entries may be missing.
+            store: Store with the topics.
+            near: Access to the other hosts.
+            to: Receives upstreams and quarantined requests.
+            configure: Receives configurations.
+            saver: Writes quarantined requests to the store.
+            limits: Bounds of the host, with the time after which an entry
+                that is missing from the list lapses.
         """
         self._near = near
         self.listed = UpstreamsSink(to)
@@ -197,7 +203,7 @@
             self._listed,
             self._held,
         )
-        # By name, for hosts that ask this one.
+        # Topics by name, served to other hosts.
         self.topics: Mapping[str, stores.Topic[Any]] = {
             t.name: t for t in (configs, listed, held)
         }
@@ -216,14 +222,14 @@
         saver.note_copy(report, self._near.hosts.is_reader())
 
     def get_era(self) -> int:
-        """Returns the era of the store as the list was last read."""
+        """Returns the store's era at the last read of the upstream list."""
         at = self._upstreams.table.get_position()
         return at.era if at else 0
 
     def _join(
         self, topic: stores.Topic[T], list_hosts: handover.ListHosts
     ) -> handover.HandoverSource[T]:
-        """Returns a topic that is read from other hosts too."""
+        """Returns a source that reads a topic from other hosts or the store."""
         near = self._near
         return handover.HandoverSource(
             topic,
@@ -234,23 +240,23 @@
         )
 
     def start(self) -> None:
-        """Starts to follow."""
+        """Starts the feeds."""
         for feed in self._all:
             feed.start()
 
     def close(self) -> None:
-        """Stops; reads that wait are left to their bounds."""
+        """Stops the feeds; reads in progress end by their own time-outs."""
         for feed in self._all:
             feed.close()
 
     def poke(
         self, known: reading.Known, heard: Sequence[datagrams.PeerUpdate]
     ) -> None:
-        """Has read what another host has read already.
+        """Wakes the feeds for which another host has read something newer.
 
         Args:
-            known: What this host has, as it last told others.
-            heard: News of others.
+            known: What this host has read, as last sent to others.
+            heard: Updates of other hosts.
         """
         if any(reading.is_copy_due(known, n.known) for n in heard):
             self.poke_all()
@@ -261,6 +267,6 @@
             self._listed.poke()
 
     def poke_all(self) -> None:
-        """Has all read now: the reader, or the store's era, is another."""
+        """Wakes all feeds: the reader or the era of the store has changed."""
         for feed in self._all:
             feed.poke()
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -1,8 +1,8 @@
 """``egretspur-host``: router and control of one host in one process.
 
-For installations where a platform's store keeps what must last, and memory is
-paid for by the process. Joins the slices; holds no decisions. Read next:
-`egretspur.delivery.intake` and `egretspur.routing.broker`.
+For installations where a platform's store keeps durable state, and memory is
+paid for by the process. Connects the components, which make the decisions. Read
+next: `egretspur.delivery.intake` and `egretspur.routing.broker`.
 """
 
 from __future__ import annotations
@@ -42,30 +42,31 @@
 from egretspur.platform import ingress, names, node, store, upstream
 from egretspur.routing import broker, choice, desk, fleet, probes
 
-# Requests at once; each keeps a thread, started when it is needed.
+# Limit on concurrent requests; each occupies a thread, started on demand.
 THREADS: Final = 600
 
-# Connections of callers, most of them idle; the rest of the descriptors is
-# for connections to upstreams.
+# Limit on connections of callers, most of which are idle. The remaining file
+# descriptors are for connections to upstreams.
 CONNECTIONS: Final = 2000
 
-# Seconds between two looks whether the settings file has changed.
+# Seconds between two checks of the settings file for changes.
 SETTINGS_PERIOD_S: Final = 1.0
 
-# After a stop signal the balancer takes up to two seconds to notice; until
-# then new connections are served.
+# After a stop signal new connections are served for this long: the load
+# balancer takes up to two seconds to notice that the host isn't ready.
 UNREADY_S: Final = 2.6
 
-# A stop ends so long before the platform kills the process.
+# Time between the end of the drain and the end of the platform's grace period,
+# after which it kills the process.
 STOP_MARGIN_S: Final = 0.6
 
-# Kept connections are closed later than callers may reuse them, so that no
-# request crosses the close.
+# Idle connections are closed this much later than callers may reuse them, so
+# that no request arrives on a connection that is being closed.
 IDLE_SLACK_S: Final = 5.0
 
 
 class Host:
-    """One host's process."""
+    """The process of one host."""
 
     def __init__(
         self,
@@ -77,8 +78,8 @@
 
         Args:
             cfg: Its settings.
-            handler: Where it logs, for the metrics.
-            using: What it decides by.
+            handler: Log handler, whose dropped lines the metrics show.
+            using: Optional mechanisms that are enabled.
         """
         self._cfg = cfg
         self._using = using
@@ -141,7 +142,7 @@
         self._duty = duty.Duty(group, self._exchange)
         self._keeper = ranges.RangeKeeper(self._duty, self._engines, self)
         self._versions = config.Versions()
-        # As it was last told to others.
+        # What this host has read, as last sent to others.
         self._known = reading.Known(0, 0, math.inf)
         self._was_reader = False
         self._file = node.SettingsFile()
@@ -176,7 +177,7 @@
         )
 
     def start(self) -> None:
-        """Starts to serve; ready once configuration and list are there."""
+        """Starts serving; ready once configuration and list are read."""
         self._followed.start()
         self._saver.start()
         self._server.start()
@@ -190,7 +191,7 @@
         self._keeper.start()
 
     def drain(self) -> None:
-        """Finishes what is in flight, within the platform's grace."""
+        """Completes requests in flight within the platform's grace period."""
         began_s = time.monotonic()
         end_s = began_s + self._cfg.grace_s - STOP_MARGIN_S
         self._draining.set()
@@ -198,7 +199,7 @@
         self._keeper.close()
         self._duty.close()
         self._server.drain()
-        # Until the balancer has noticed, new callers still come.
+        # New requests arrive until the load balancer has noticed.
         time.sleep(min(UNREADY_S, self._cfg.grace_s / 2))
         self._intake.stop()
         self._server.close_idle()
@@ -222,11 +223,11 @@
         decisions.record(decisions.Stopped(self._intake.in_flight))
 
     def configure(self, cfg: config.Configuration) -> None:
-        """Puts a configuration in force, unless a newer one is."""
+        """Puts a configuration in force, unless a newer one already is."""
         if not self._versions.take(cfg):
             return
-        # Requests are made by the intake's version and sent by the broker's:
-        # the broker must know a service before a request names it.
+        # The intake makes requests by its configuration and the broker routes
+        # them by its own, so the broker must know a service first.
         self._desk.configure(cfg)
         self._intake.configure(cfg)
         self._server.set_limits(
@@ -242,7 +243,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Tells whether this host should be given new callers."""
+        """Returns whether the load balancer should send new requests here."""
         return (
             not self._draining.is_set()
             and self._versions.newest is not None
@@ -256,7 +257,7 @@
     def _ask_host(
         self, host: str, topic: str, since: positions.Position | None
     ) -> bytes | None:
-        """Returns what another host has of a topic since a position."""
+        """Returns another host's changes of a topic since a position."""
         port = self._cfg.listen_control.rpartition(":")[2]
         res = self._pages_client.call(
             "GET", f"{host}:{port}", pages.make_snapshot_path(topic, since)
@@ -287,11 +288,11 @@
         return app
 
     def learn(self, upstream_id: str, layers: upstreams.Layers) -> None:
-        """Takes what an engine reports to hold after an order."""
+        """Passes on the layers that an engine reports after an order."""
         self._desk.tell(desk.LayersReported(upstream_id, layers))
 
     def look(self) -> ranges.Scene:
-        """Returns what the keeper of layers looks at."""
+        """Returns the state by which the keeper places layers."""
 
         def read(state: broker.Broker) -> ranges.Scene:
             now_s = time.monotonic()
@@ -320,7 +321,7 @@
         return scene
 
     def _find_late(self, view: fleet.Fleet, now_s: float) -> frozenset[str]:
-        """Returns the engines that are too slow for prompt answers."""
+        """Returns the engines that are too slow for the routes' time limits."""
         cfg = self._versions.newest
         if cfg is None or not self._using.replacing_slow:
             return frozenset()
@@ -346,7 +347,7 @@
         return upstreams.PLAIN_REPORT if is_alive else None
 
     def _make_news(self, peers: Mapping[str, str]) -> datagrams.PeerUpdate:
-        """Returns what this host tells the others of its data centre."""
+        """Returns this host's update for the others of its data centre."""
         self._note_role()
         now_s = time.monotonic()
         age_s = now_s - self._store.answered_s
@@ -364,14 +365,14 @@
         return made
 
     def _widen_news(self, own: datagrams.PeerUpdate) -> datagrams.PeerUpdate:
-        """Returns what this host tells other data centres for its own."""
+        """Returns the update of this data centre for other data centres."""
         widened: datagrams.PeerUpdate = self._desk.query(
             lambda state: news.widen(state, own, time.monotonic())
         )
         return widened
 
     def _note_role(self) -> None:
-        """Has the feeds read at their new pace if the reader changed."""
+        """Wakes the feeds to read at their new pace if the role changed."""
         is_reader = self._exchange.is_reader()
         if is_reader != self._was_reader:
             self._was_reader = is_reader
@@ -387,15 +388,15 @@
         self._desk.tell(desk.PeerUpdates(told, max(hosts, seeds)))
 
     def reload(self) -> None:
-        """Has the settings read again soon; safe in a signal handler."""
+        """Requests a reload of the settings; safe in a signal handler."""
         self._is_reload_due = True
 
     def _reload(self) -> None:
-        """Puts changed settings in force, as far as that needs no restart."""
+        """Applies changed settings, except those that need a restart."""
         try:
             cfg = node.load_settings()
         except node.SettingsError as exc:
-            # The former ones stay in force; nothing is lost.
+            # The previous settings stay in force.
             decisions.record(decisions.Reloaded(str(exc)))
             return
         self._cfg = cfg
@@ -411,13 +412,13 @@
 
 
 def _make_budget(cfg: node.HostSettings) -> repeats.Options:
-    """Returns the retry budgets, as seen by a host that has just started."""
+    """Returns the options of the retry budgets of a host that has started."""
     since_s = math.inf
     if cfg.is_first_start:
-        # Nothing can have been spent.
+        # No retry can have been spent before.
         since_s = -math.inf
     elif not set(_list_hosts(cfg.seeds)) - {cfg.ip}:
-        # There is nobody else to be heard.
+        # No other host can send what was spent.
         since_s = time.monotonic()
     return repeats.Options(
         cfg.retry_ratio, cfg.retry_allowance, cfg.retry_window_s, since_s
@@ -425,7 +426,7 @@
 
 
 def _list_hosts(addresses: Sequence[str]) -> list[str]:
-    """Returns the hosts of addresses."""
+    """Returns the addresses without their ports."""
     return [a.rpartition(":")[0] for a in addresses]
 
 
--- a/egretspur/daemons/meters.py
+++ b/egretspur/daemons/meters.py
@@ -1,10 +1,10 @@
-"""Counters and histograms, fed by the decisions that are logged.
+"""Counters and histograms of the logged decisions.
 
-Whatever is worth a log line is worth counting, so both come from one place: a
-handler on the decisions' logger. The library that keeps the figures is loaded
-when someone asks for them or many wait: with what it needs, and with that of
-the state dump, it is a tenth of the processor time of a host's start, while
-callers wait, and 2.5 MB. Read next: `egretspur.decisions`.
+Every decision that is logged is also counted, by a handler on the decisions'
+logger. The metrics library is imported when metrics are first read or many
+samples are pending: at a host's start, while callers wait, its import and that
+of the state dump with their dependencies would take a tenth of the processor
+time, and 2.5 MB. Read next: `egretspur.decisions`.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 _INF: Final = float("inf")
 
-# Upper bounds of the buckets, in seconds: callers count 0.5 s to the first
-# event and 0.2 s between two as prompt.
+# Upper bounds of the histograms' buckets, in seconds. Callers expect the first
+# event within 0.5 s and later ones within 0.2 s of each other.
 _BUCKETS: Final[Mapping[str, tuple[float, ...]]] = {
     "first_event": (0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 5.0, _INF),
     "event_gap": (0.05, 0.1, 0.15, 0.2, 0.4, 1.0, 2.0, _INF),
@@ -41,7 +41,7 @@
     "store_call": "Calls to the store, waiting reads left out",
 }
 
-# Fields that hold the cause, by kind of line.
+# Field that holds the cause, by log event.
 _CAUSES: Final[Mapping[str, str]] = {
     "request_refused": "kind",
     "attempt_failed": "why",
@@ -56,25 +56,24 @@
     "step_failed": "where",
 }
 
-# Histograms that a kind of line feeds, with the field.
+# Histograms that a log event feeds, with the field of the observed value.
 _TIMES: Final[Mapping[str, tuple[tuple[str, str], ...]]] = {
     "request_answered": (("first_event", "first_s"), ("event_gap", "gap_s")),
     "request_refused": (("queue_wait", "waited_s"),),
     "order_done": (("order", "took_s"),),
 }
 
-
-# Figures that wait for the library at most: some hundred kilobytes, so that a
-# host that nobody asks does not grow.
+# Pending samples that trigger the import of the library: some hundred
+# kilobytes, so that memory stays bounded if the metrics are never read.
 MOST_WAITING: Final = 4096
 
-# Of the counter; the other figures are times, by their names.
+# Name of samples of the counter; other samples name their histogram.
 _DECISIONS: Final = "decisions"
 
 
 @attrs.frozen
 class _Figure:
-    """One observation."""
+    """One observation of a metric."""
 
     name: str
     labels: Mapping[str, str]
@@ -82,7 +81,7 @@
 
 
 class _Collected:
-    """The figures in the library's terms."""
+    """The metrics, as objects of the metrics library."""
 
     def __init__(self) -> None:
         from aioprometheus import collectors
@@ -104,7 +103,7 @@
         }
 
     def take(self, figure: _Figure) -> None:
-        """Takes one observation."""
+        """Adds a sample to its counter or histogram."""
         if figure.name == _DECISIONS:
             self._counter.inc(dict(figure.labels))
         else:
@@ -112,10 +111,10 @@
 
 
 class Meters(logging.Handler):
-    """Counts decisions by kind and cause, and their times by bucket."""
+    """Counts decisions by event and cause, and their times by bucket."""
 
     def __init__(self) -> None:
-        """Makes meters that have counted nothing."""
+        """Makes metrics without samples."""
         super().__init__()
         self._guard = threading.Lock()
         self._waiting: list[_Figure] = []
@@ -134,12 +133,12 @@
             self._take(_Figure(name, {}, float(fields[field])))
 
     def note_store_call(self, seconds: float) -> None:
-        """Takes the time of a call to the store."""
+        """Records the duration of a call to the store."""
         self._take(_Figure("store_call", {}, seconds))
 
     def collect(self) -> collectors.Registry:
-        """Returns all figures; loads the library if nothing has yet."""
-        # Not under the lock: whoever logs would wait for it.
+        """Returns all metrics; imports the metrics library if necessary."""
+        # Imported outside the lock, for which each log call waits.
         loaded = self._collected or _Collected()
         with self._guard:
             if self._collected is None:
@@ -162,6 +161,6 @@
 
 
 def get_cause(fields: Mapping[str, Any]) -> str:
-    """Returns the cause in a line's fields; empty if it has none."""
+    """Returns the cause in a log line's fields; empty if it has none."""
     name = _CAUSES.get(fields[decisions.EVENT_KEY])
     return str(fields[name]) if name else ""
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -1,7 +1,8 @@
-"""What a host tells the others of itself, and takes from what they tell: pure.
+"""Converts between the broker's state and peer updates: pure functions.
 
-Translates between the broker's state and the datagrams of the exchange. Read
-next: `egretspur.membership.exchange` and `egretspur.membership.datagrams`.
+Peer updates are what hosts send to each other in the datagrams of the exchange.
+Read next: `egretspur.membership.exchange` and
+`egretspur.membership.datagrams`.
 """
 
 from __future__ import annotations
@@ -16,28 +17,29 @@
 from egretspur.membership import datagrams
 from egretspur.routing import broker, fleet
 
-# Layers that an engine reported after an order are told to other hosts until
-# the list shows them, and no longer than this where it never does: a heartbeat,
-# a read of the list, and the time after which the store counts as away. While
-# it is away they are told until it is back.
+# Layers that an engine reported after an order are published to other hosts
+# until the list shows them, but no longer than this: a heartbeat, a read of the
+# list, and the time after which the store counts as away. While the store is
+# away they are published without limit.
 LAYERS_TOLD_S: Final = 6.0
 
-# Age told of a list that was never read.
+# Age sent for a list that was never read.
 NEVER_S: Final = 1e6
 
 
 @attrs.frozen
 class StoreView:
-    """What a host has of the store."""
+    """What a host has read from the store, and when."""
 
     # Version of the configuration in force; 0 for none.
     version: int
-    # Seconds since the store answered this host, and gave it the list.
+    # Seconds since the store last answered this host.
     age_s: float
+    # Seconds since the host last read the list of upstreams.
     list_age_s: float
-    # No host near by has the store.
+    # No host of this data centre gets answers from the store.
     is_away: bool
-    # Of the store as its list was read.
+    # Era of the store when the list was read.
     era: int
 
 
@@ -48,13 +50,13 @@
     peers: Mapping[str, str],
     now_s: float,
 ) -> datagrams.PeerUpdate:
-    """Returns what a host tells the others of its data centre.
+    """Returns a host's update for the others of its data centre.
 
     Args:
-        state: What it knows of requests and upstreams.
-        ip: Its address.
-        view: What it has of the store.
-        peers: Hosts to name, with their data centres.
+        state: State of the host's broker.
+        ip: Address of the host.
+        view: What the host has read from the store.
+        peers: Other hosts to list, with their data centres.
         now_s: Monotonic time.
     """
     own = state.fleet
@@ -87,7 +89,7 @@
 def widen(
     state: broker.Broker, news: datagrams.PeerUpdate, now_s: float
 ) -> datagrams.PeerUpdate:
-    """Returns a host's news with what its whole data centre has."""
+    """Returns a host's update with the totals of its data centre."""
     return attrs.evolve(
         news,
         usage=state.fleet.memory.sum_data_centre(now_s),
@@ -98,7 +100,7 @@
 
 
 def read(news: datagrams.PeerUpdate) -> fleet.PeerUpdate:
-    """Returns what the broker takes of another host's news."""
+    """Returns the part of another host's update that the broker applies."""
     return fleet.PeerUpdate(
         host=news.host,
         data_centre=news.data_centre,
--- a/egretspur/daemons/pages.py
+++ b/egretspur/daemons/pages.py
@@ -1,6 +1,6 @@
-"""Pages of a host for operators and for other hosts: metrics, state, snapshot.
+"""HTTP pages of a host for operators and other hosts: metrics, state, snapshot.
 
-Figures are read from the broker when a page is asked for, so that they cost
+Gauges are read from the broker when the metrics are requested, so they cost
 nothing otherwise.
 """
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from aioprometheus import collectors
 
-# Gauges by name, each prefixed with ``egretspur_``.
+# Help texts of gauges by name; ``egretspur_`` is put before each name.
 _GAUGES: Final = {
     "requests_arrived": "Requests that named a route",
     "requests_started": "Attempts given to an upstream",
@@ -53,30 +53,31 @@
 
 
 class Snapshots(Protocol):
-    """Topics whose state can be handed to another host."""
+    """A topic whose state can be sent to another host."""
 
     def export(self, since: positions.Position | None) -> bytes | None:
-        """Returns what a host misses that has read up to a position.
+        """Returns the changes for a host that has read up to a position.
 
-        None if there is nothing to hand over.
+        None if this host has nothing to send.
         """
 
 
 @attrs.frozen
 class Figures:
-    """What the pages show."""
+    """Values of the gauges that are read from the broker."""
 
+    # Values of gauges without labels, by name.
     plain: Mapping[str, float]
-    # By name and upstream.
+    # Values by name and upstream.
     by_upstream: Mapping[str, Mapping[str, float]]
 
 
 class _Gauges:
-    """Figures that are read when they are asked for."""
+    """The gauges in the registry of the metrics library."""
 
     def __init__(self, registry: collectors.Registry) -> None:
-        """Makes the gauges of a registry."""
-        # See `egretspur.daemons.meters` on why here.
+        """Adds the gauges to a registry."""
+        # `egretspur.daemons.meters` says why the import is delayed.
         from aioprometheus import collectors
 
         self._gauges = {
@@ -85,7 +86,7 @@
         }
 
     def set(self, figures: Figures, own: Mapping[str, float]) -> None:
-        """Sets all of them, those of the process from `own`."""
+        """Sets all gauges; `own` has the values that aren't the broker's."""
         for name, value in {**figures.plain, **own}.items():
             self._gauges[name].set({}, value)
         for name, values in figures.by_upstream.items():
@@ -133,7 +134,7 @@
 
 
 def make_snapshot_path(topic: str, since: positions.Position | None) -> str:
-    """Returns the path of the page that `make_pages` serves snapshots on."""
+    """Returns the path at which another host serves a topic's snapshot."""
     path = f"/v1/snapshot/{topic}"
     if since is None:
         return path
@@ -141,7 +142,7 @@
 
 
 def _read_position(req: web.Request) -> positions.Position | None:
-    """Returns up to where the asking host has read; None for nothing."""
+    """Returns the requesting host's position; None if it has read nothing."""
     offset = web.get_query_int(req, "since", -1)
     if offset < 0:
         return None
@@ -149,7 +150,7 @@
 
 
 def read_figures(state: broker.Broker) -> Figures:
-    """Returns the figures of a broker."""
+    """Returns the gauges' values of a broker."""
     now_s = time.monotonic()
     fleet = state.fleet
     usages = {i: fleet.memory.get_usage(i, now_s) for i in fleet.roster.entries}
@@ -183,7 +184,7 @@
 
 
 def dump_state(state: broker.Broker) -> dict[str, Any]:
-    """Returns a broker's state as plain values."""
+    """Returns a broker's state as values that JSON can represent."""
     now_s = time.monotonic()
     fleet = state.fleet
     return {
--- a/egretspur/daemons/router.py
+++ b/egretspur/daemons/router.py
@@ -1,6 +1,6 @@
-"""``egretspur-router``: callers' HTTP on an entry host.
+"""``egretspur-router``: serves callers' HTTP requests on an entry host.
 
-Joins the slices; holds no decisions. Requests go through
+Connects the components, which make the decisions. Requests are handled by
 `egretspur.delivery.completions` or `egretspur.claims.calls`.
 """
 
@@ -30,19 +30,19 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Seconds between two looks at deadlines and probes.
+# Seconds between two checks of deadlines and probes.
 TICK_S: Final = 0.1
 
 # Seconds between two updates of the gauges.
 GAUGES_S: Final = 1.0
 
-# Threads kept free for diagnostics and peers while all streams are taken.
+# Threads reserved for diagnostics and peers while all streams are in use.
 SPARE_THREADS: Final = 8
 
-# A thread's stack; there is one for each open request.
+# Stack size of a thread; each open request has a thread.
 STACK_BYTES: Final = 256 * 1024
 
-# Header fields that belong to one connection and are not passed on.
+# Header fields that belong to one connection and are not forwarded.
 HOP_BY_HOP: Final = frozenset(
     {
         "connection",
@@ -58,7 +58,7 @@
 
 
 class Router:
-    """One router process."""
+    """A router daemon."""
 
     def __init__(self, cfg: settings.RouterSettings) -> None:
         self._cfg = cfg
@@ -132,17 +132,18 @@
         self.address = self._server.address
 
     def start(self) -> None:
-        """Starts to serve."""
+        """Starts serving."""
         self._tools.pump.start()
         self._server.start()
         self._link.start(self.address)
         self._ticker.start()
 
     def drain(self) -> None:
-        """Finishes all that is in flight.
+        """Completes all requests in flight.
 
-        The balancer still sends for a while after `/ready` says no; refusing
-        then would fail callers, so requests are served until it has noticed.
+        The load balancer still sends requests for a while after `/ready` fails.
+        Refusing them would fail callers, so they are served until it has
+        noticed.
         """
         self._draining.set()
         self._server.drain()
@@ -153,7 +154,7 @@
                 if not self._in_flight:
                     break
             time.sleep(0.05)
-        # The last answers are in the server's buffers; it flushes them.
+        # Lets the server flush the last answers from its buffers.
         time.sleep(0.2)
 
     def close(self) -> None:
@@ -258,7 +259,10 @@
         return web.reply_json(claim_actor.describe_verdict(verdict))
 
     def _check_request(self, req: web.Request) -> errors.Refusal | None:
-        """Returns why a request is refused before it is read, if it is."""
+        """Returns a refusal by header count or load, before the body is read.
+
+        None if the request is let in.
+        """
         count = sum(1 for k in req.environ if k.startswith("HTTP_"))
         if count > self._cfg.limits.header_count:
             return errors.Refusal(
@@ -336,7 +340,7 @@
             self._gauges[name].set({}, value)
 
 
-# Gauges by name, each prefixed with ``egretspur_``.
+# Help texts of gauges by name; ``egretspur_`` is put before each name.
 _GAUGES: Final = {
     "in_flight": "Requests being served",
     "waiting": "Requests waiting for an upstream",
@@ -351,7 +355,7 @@
 
 @attrs.define
 class _CountedBody:
-    """A pushed body that says when it is over."""
+    """A pushed body that calls a function at its end."""
 
     body: web.PushedBody
     leave: Callable[[int], None]
@@ -387,7 +391,8 @@
     )
     if isinstance(cfg, int):
         return cfg
-    # Sub-millisecond switches between the threads of hundreds of streams.
+    # Hundreds of streams have a thread each: shorter intervals than the default
+    # keep each from waiting long for the interpreter lock.
     sys.setswitchinterval(0.001)
     urllib3.disable_warnings()
     return base.run_daemon(Router(cfg), cfg.node)
--- a/egretspur/daemons/status.py
+++ b/egretspur/daemons/status.py
@@ -13,8 +13,9 @@
 
     name: str
     data_centre: str
-    # Offset folded by its control daemon and in force in its router.
+    # Log offset that its control daemon has applied.
     offset: int
+    # Log offset of the routing table in force in its router.
     in_force: int
     log_reachable: bool
 
@@ -27,19 +28,20 @@
     asked: str
     offset: int
     hosts: tuple[HostStatus, ...]
-    # Holder of the order lease in each data centre.
+    # Holder of the orders' lease, by data centre.
     leases: dict[str, str]
     plans: tuple[desks.PlanView, ...]
-    # Why this data centre may be behind; empty if it is not.
+    # Why this data centre's state may be out of date; empty if it is not.
     warning: str
-    # Control addresses in other data centres, to ask for theirs.
+    # Addresses of control daemons in other data centres, which have the status
+    # of theirs.
     remote: dict[str, tuple[str, ...]]
 
 
 @attrs.frozen
 class Quarantined:
-    """A request that no router of the data centre sends any more."""
+    """A quarantined request, which the data centre's routers refuse."""
 
     fingerprint: str
-    # Upstreams that ended under it.
+    # Number of upstreams that crashed under it.
     ended: int
