--- a/egretspur/cli/client.py
+++ b/egretspur/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of the command line to control daemons."""
+"""HTTP client of the command line for control daemons."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 T = TypeVar("T")
 
-# Longest wait for an answer; above the daemon's own bounds on the log.
+# Time-out of an answer; exceeds the daemon's own time-outs on the log.
 READ_S: Final = 15.0
 
 
@@ -22,12 +22,12 @@
 
     kind: errors.ErrorKind
     message: str
-    # Id under which the outcome can be looked up; empty if there is none.
+    # Id by which the outcome can be looked up; empty if there is none.
     ask_for: str = ""
 
 
 class Client:
-    """Talks to the first control daemon that answers."""
+    """Calls the first control daemon that answers."""
 
     def __init__(self, addresses: Sequence[str], operator: str) -> None:
         self._addresses = list(addresses)
@@ -45,13 +45,13 @@
     def post(self, path: str, message: Any, cls: type[T]) -> T | Problem:
         """Sends a command.
 
-        Another daemon is tried only if the first can't have received it.
+        Another daemon is tried only if the previous one can't have received it.
         """
         body = codec.dump(message) if message is not None else b"{}"
         return self._call("POST", path, body, cls)
 
     def get_from(self, address: str, path: str, cls: type[T]) -> T | Problem:
-        """Reads a page of one daemon."""
+        """Reads a page of the daemon at an address."""
         return self._read(
             self._transport.call("GET", address, path, read_s=3.0), cls
         )
@@ -95,7 +95,8 @@
         except (codec.DecodeError, KeyError, TypeError, ValueError) as exc:
             return Problem(
                 errors.ErrorKind.INTERNAL,
-                f"the answer is malformed: {exc}; are both of one version?",
+                f"the answer is malformed: {exc}; do the command line and the"
+                " control daemon have the same version?",
             )
 
 
--- a/egretspur/cli/explain.py
+++ b/egretspur/cli/explain.py
@@ -1,9 +1,9 @@
-"""``egretspur explain``: the story of one request, from the logs of all hosts.
+"""``egretspur explain``: traces one request through the logs of all hosts.
 
 Reads the JSON lines that `egretspur.decisions` writes, from files or standard
-input, and prints in order what was decided for a request, from what, and how
-it ended. What else changed meanwhile on the upstreams of its path is shown
-too, since that is usually the cause.
+input, and prints in order of time which decisions were made for a request, from
+which data, and how the request ended. State changes of the upstreams on its
+path in that time are shown too, since one of them is usually the cause.
 """
 
 from __future__ import annotations
@@ -17,16 +17,15 @@
 
 from egretspur import decisions
 
-# Fields that are shown in front of a line or not at all.
+# Fields that are shown at the start of a printed line or not at all.
 _COMMON: Final = frozenset(
     {"time", "level", "name", "message", "process", "event", "request"}
 )
 
-# Changes of upstreams are shown from so long before the request's first line,
-# in seconds.
+# Changes of upstreams are shown from this long before the request's first line.
 BEFORE_S: Final = 2.0
 
-# Lines that end a request.
+# Log events that end a request.
 _ENDS: Final = (
     decisions.RequestAnswered,
     decisions.RequestRefused,
@@ -48,18 +47,18 @@
 
 @attrs.define
 class Story:
-    """What is known of one request."""
+    """The log lines that concern one request."""
 
     request: str
     lines: list[Line] = attrs.Factory(list)
     # Changes of the upstreams it was sent to.
     changes: list[Line] = attrs.Factory(list)
-    # Ids under which the same request came too, oldest first.
+    # Other ids under which the same request was sent, oldest first.
     others: list[str] = attrs.Factory(list)
-    # Lines that are no JSON or lack a field.
+    # Number of lines that aren't JSON or lack a field.
     skipped: int = 0
-    # When the host of the last line next started, in seconds after that line;
-    # None if it did not.
+    # Seconds from the last line to the next start of its host; None if the host
+    # didn't start again.
     restarted_s: float | None = None
 
 
@@ -67,8 +66,8 @@
     """Returns the lines of a log; counts those that can't be read.
 
     Args:
-        texts: Lines; what stands before the first brace is passed over.
-        story: Its count of skipped lines is raised.
+        texts: Lines; anything before the first brace of a line is ignored.
+        story: Receives the count of lines that were skipped.
     """
     lines = []
     for text in texts:
@@ -86,7 +85,7 @@
 
 
 def tell(request: str, texts: Iterable[str]) -> Story:
-    """Returns the story of a request from the lines of all logs."""
+    """Returns the lines of all logs that concern a request."""
     story = Story(request)
     lines = read_lines(texts, story)
     story.lines = sorted(
@@ -123,7 +122,7 @@
 
 
 def format_story(story: Story) -> list[str]:
-    """Returns the text that is printed."""
+    """Returns the lines of text that are printed."""
     if not story.lines:
         return [f"No line of these logs names request {story.request}."]
     start_s = story.lines[0].time_s
@@ -146,7 +145,7 @@
 
 
 def explain_end(story: Story) -> str:
-    """Returns how a request ended and why, in a sentence."""
+    """Returns how a request ended and why, for the printed text."""
     names = {decisions.make_event_name(c.__name__) for c in _ENDS}
     ends = [n for n in story.lines if n.event in names]
     if not ends:
@@ -171,17 +170,17 @@
 
 
 def _explain_silence(story: Story) -> str:
-    """Returns why a request has no end in the logs."""
+    """Returns why the logs have no line for the end of a request."""
     if story.restarted_s is None:
         return "not in these logs; the host may have been killed"
     return (
-        "its host ended without a word, killed or without power, and started"
-        f" again {story.restarted_s:.1f} s after the last line"
+        "its host ended without logging a stop, killed or without power, and"
+        f" started again {story.restarted_s:.1f} s after the last line"
     )
 
 
 def _explain_late(story: Story, fields: dict[str, Any]) -> str:
-    """Returns what held an answer up, if anything did."""
+    """Returns the delays of an answer and their causes."""
     failed = [n for n in story.lines if n.event == "attempt_failed"]
     moved = [n for n in story.lines if n.event == "request_moved"]
     queued = [n for n in story.lines if n.event == "request_queued"]
@@ -217,7 +216,7 @@
 
 
 def _find_others(story: Story, lines: Iterable[Line]) -> list[str]:
-    """Returns the other ids of the request, which its fingerprint tells."""
+    """Returns the other ids of the request, found by its fingerprint."""
     prints = {n.fields.get("fingerprint") for n in story.lines} - {None, ""}
     same = [n for n in lines if n.fields.get("fingerprint") in prints]
     same.sort(key=lambda n: n.time_s)
--- a/egretspur/cli/main.py
+++ b/egretspur/cli/main.py
@@ -1,7 +1,7 @@
 """``egretspur``: the operators' command line.
 
-Everything an operator does is an intent, a confirmation or a rejection; the
-rest of the commands only read.
+Operators change the system by creating intents, confirming or rejecting plans,
+and releasing quarantined requests. The other commands only read.
 """
 
 from __future__ import annotations
@@ -351,7 +351,7 @@
 
 
 def _check_settings(client: clients.Client, args: argparse.Namespace) -> int:
-    """Checks a file as the daemon that it is for."""
+    """Checks a settings file against the schema of the daemon it is for."""
     cls: type[Any] = settings.ControlSettings
     try:
         data = tomllib.loads(args.file.read_text(encoding="utf-8"))
@@ -369,7 +369,7 @@
 
 
 def read_intent(path: pathlib.Path, operator: str) -> desk.NewIntent | str:
-    """Reads an intent file; returns what is wrong if it is."""
+    """Returns the intent in a file, or what is wrong with the file."""
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
--- a/egretspur/cli/tables.py
+++ b/egretspur/cli/tables.py
@@ -1,4 +1,4 @@
-"""How the command line shows things: plain tables, one fact a column."""
+"""Formats the command line's output as text and tables."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
 
 
 def format_status(found: Sequence[statuses.Status]) -> str:
-    """Returns hosts, leases and open plans of all data centres asked."""
+    """Returns the hosts, leases and open plans in the status of daemons."""
     rows = [
         [
             host.name,
@@ -145,7 +145,7 @@
 
 
 def format_history(lines: Sequence[states.HistoryEntry]) -> str:
-    """Returns who asked, planned, confirmed, and what was done."""
+    """Returns a table of intents, plans and their changes, with operators."""
     rows = [
         [
             str(line.offset),
@@ -175,7 +175,7 @@
 
 
 def format_quarantine(held: Sequence[statuses.Quarantined]) -> str:
-    """Returns requests that are sent to no upstream any more."""
+    """Returns a table of the quarantined requests."""
     if not held:
         return "no request is in quarantine"
     rows = [[h.fingerprint, str(h.ended)] for h in held]
