--- a/tests/cli/quarantine.feature
+++ b/tests/cli/quarantine.feature
@@ -1,13 +1,13 @@
-Feature: Requests in quarantine, for operators
+Feature: Operators list and release quarantined requests
 
-  Scenario: An operator lists them and lets one go
-    # Symptom: a prompt that works again is refused until all routers start
-    # anew. Sequence: engines ended under it, they were mended, and nobody can
-    # tell the routers.
+  Scenario: An operator lists quarantined requests and releases one
+    # Guards against a prompt that stays refused until all routers restart:
+    # engines crashed under it, they have been repaired since, and operators
+    # have no way to release it.
     Given a data centre with two entry hosts in force
-    When the router of one host reports that 3 engines ended under a prompt
+    When the router of one host reports that 3 engines crashed under a prompt
     Then the prompt is refused at both hosts, and other prompts are answered
     And the command line lists it at both hosts
-    When an operator lets it go at the other host
+    When an operator releases it at the other host
     Then the prompt is answered at both hosts
-    And the command line says that there is none, and that it knows no other
+    And the command line lists none, and refuses to release an unknown one
--- a/tests/daemons/copies.feature
+++ b/tests/daemons/copies.feature
@@ -1,8 +1,8 @@
-Feature: A host whose store comes back from an older copy
+Feature: A host whose store is replaced by an older copy
 
-  Scenario: A key that was taken away, and a host that starts meanwhile
-    # Symptom: a key that was taken away is let in again. Sequence: the store
-    # loses the configuration without it; the operator has not written it again.
+  Scenario: A revoked key, and a host that starts after the store was replaced
+    # Guards against accepting a revoked key again: the copy lacks the
+    # configuration without the key, and no operator has written it again.
     Given a store, four engines, two plain replicas and a host
     When a configuration without key "key-1" is written
     Then within 4 s "/cards/x" with key "key-1" is answered 401
@@ -11,11 +11,11 @@
     When another host starts
     Then within 6 s it answers "/cards/x" with key "key-2" 200
     And it answers "/cards/x" with key "key-1" 401
-    And the host tells of the copy in one line, and of the store's era
+    And the host logs the copy in one line, and its metrics show the store's era
 
   Scenario: An upstream that left
-    # Symptom: requests go to an upstream that was gone. Sequence: the store
-    # loses its removal.
+    # Guards against sending requests to an upstream that has left: the copy
+    # lacks the removal of its entry.
     Given a store, four engines, two plain replicas and a host
     When an upstream leaves
     Then within 4 s no request reaches it
--- a/tests/daemons/crashing.feature
+++ b/tests/daemons/crashing.feature
@@ -1,20 +1,20 @@
-Feature: Processes that end under a request
+Feature: Engine processes that crash under a request
 
-  Scenario: A request that ends every engine
-    # Symptom, sequence and cause: tests/routing/crashing.feature. Here with the
-    # programs themselves, and a caller that goes from host to host.
+  Scenario: A request that crashes every engine
+    # Runs the failure of tests/routing/crashing.feature with whole processes,
+    # and with a caller that retries on one host after another.
     Given a store, four engines, two plain replicas and three hosts
-    And engines that end as they begin to run a request that holds "stone"
-    When such a request comes to the hosts in turn until three engines ended
-    And it comes 6 times more, after 3 s
-    Then at most 3 more engines ended
+    And engines that crash when they start a request that contains "stone"
+    When such a request is sent to the hosts in turn until three engines crashed
+    And it is sent 6 more times, after 3 s
+    Then at most 3 more engines crashed
     And each host answers other streams
 
-  Scenario: All hosts are killed, and find it in the store
+  Scenario: Killed hosts read the quarantine from the store
     Given a store, four engines, two plain replicas and three hosts
-    And engines that end as they begin to run a request that holds "stone"
-    When such a request comes to the hosts in turn until three engines ended
+    And engines that crash when they start a request that contains "stone"
+    When such a request is sent to the hosts in turn until three engines crashed
     And the store has it in quarantine
     And all hosts are killed and start again
-    And it comes 3 times more, after 0 s
-    Then at most 0 more engines ended
+    And it is sent 3 more times, after 0 s
+    Then at most 0 more engines crashed
--- a/tests/daemons/repeats.feature
+++ b/tests/daemons/repeats.feature
@@ -1,9 +1,9 @@
-Feature: Callers of a host that may repeat nothing
+Feature: A host whose retry budget is empty
 
-  Scenario: A run is cut before its first event, beside a new configuration
-    # Symptom: callers on kept connections see them close without an answer.
-    # Sequence: an engine breaks off, and the retry budget is empty.
-    Given a site whose host may repeat nothing
-    When a caller asks 6 times on one connection, each run is cut
+  Scenario: Runs are cut before their first event as the configuration changes
+    # Guards against kept connections that are closed without an answer, when an
+    # engine closes its connection and the retry budget is empty.
+    Given a site whose host has an empty retry budget
+    When a caller sends 6 requests on one connection, and each run is cut
     And a new configuration comes after the third
-    Then each answer is a whole 502, and the connection was kept
+    Then each answer is a complete 502, and the connection was kept
--- a/tests/daemons/soak.feature
+++ b/tests/daemons/soak.feature
@@ -1,6 +1,6 @@
-Feature: Faults without end
+Feature: Soak test under random faults
 
-  Scenario Outline: What a soak finds wrong
+  Scenario Outline: Faults that the soak test detects
     When a request to "<path>" is answered <status> with "<body>" after <runs> runs
     Then the soak says "<finding>"
 
@@ -19,12 +19,12 @@
       | /orders/x | 503    |       | 1    | answered 503, though it ran               |
       | /cards/x  | 503    |       | 1    |                                           |
 
-  Scenario: The answer of another request
-    When a request is answered with the answer of another one
+  Scenario: A request that gets the answer of another one
+    When a request gets the answer of another one
     Then the soak says "got the answer of"
 
-  Scenario Outline: What a request that ends engines may reach
-    When it was sent at <times> s and begun <runs> times
+  Scenario Outline: Bound on engines that a crashing request may reach
+    When it was sent at <times> s and started <runs> times
     Then the soak counts <late> beyond the bound
 
     Examples:
@@ -35,34 +35,34 @@
       | 0, 1, 6, 9    | 2 1 2 2   | 4    |
       | 0, 1, 2, 9    | 1 0 1 0   | 0    |
 
-  Scenario: Two hosts under faults, and a request that ends engines
-    When a site of 2 hosts is soaked for 12 s with seed 11, and a request that ends engines
-    Then nothing is found wrong, and answers of each kind came
-    And engines ended under it
+  Scenario: Two hosts under faults, and a request that crashes engines
+    When a site of 2 hosts is soaked for 12 s with seed 11, and a request that crashes engines
+    Then no fault is found, and answers of each kind arrived
+    And engines crashed under it
 
   Scenario: Two hosts under faults
-    # Any of: an answer with a hole, an order carried out twice, a refusal that
-    # is not true, a host that does not serve again.
+    # Guards against answers with missing events, non-idempotent calls that run
+    # twice, refusals as not run of calls that ran, and hosts that don't recover.
     When a site of 2 hosts is soaked for 12 s with seed 7
-    Then nothing is found wrong, and answers of each kind came
+    Then no fault is found, and answers of each kind arrived
 
-  Scenario: Two hosts under faults, and a store that comes back from copies
+  Scenario: Two hosts under faults, and a store that is replaced by copies
     When a site of 2 hosts is soaked for 12 s with seed 3, and copies of the store
-    Then nothing is found wrong, and answers of each kind came
-    And the store came back from copies
+    Then no fault is found, and answers of each kind arrived
+    And the store was replaced by copies
 
-  Scenario: Two hosts under faults, and upstreams that ask for less
-    # Any of: more than an upstream's limit, requests within a rest, requests to
-    # an upstream that has long told that it leaves.
-    When a site of 2 hosts is soaked for 14 s with seed 5, and upstreams that ask for less
-    Then nothing is found wrong, and answers of each kind came
-    And upstreams asked for less
+  Scenario: Two hosts under faults, and upstreams that send throttling headers
+    # Guards against requests beyond an upstream's rate limit, during its backoff,
+    # or long after it announced that it leaves.
+    When a site of 2 hosts is soaked for 14 s with seed 5, and upstreams that send throttling headers
+    Then no fault is found, and answers of each kind arrived
+    And upstreams sent throttling headers
 
-  Scenario Outline: What the soak finds of requests to one that asks for less
-    When one that asks for "<wish>" gets requests of two hosts at <times> s
+  Scenario Outline: Requests against throttling headers that the soak test detects
+    When an upstream that sends "<wish>" gets requests of two hosts at <times> s
     Then the soak finds "<finding>"
 
-    Examples: a host's number stands behind the time
+    Examples: each time is followed by the letter of the host
       | wish                | times                                  | finding           |
       | Server-Limit 0.2    | 0a 1a 2a 3a 4a 5a                      |                   |
       | Server-Limit 0.2    | 0a 0b 2a 2.1a 2.2b 2.3b 3a 3.1a 3.2b   | got 7 in 4 s      |
--- a/tests/steps/crashing_site_steps.py
+++ b/tests/steps/crashing_site_steps.py
@@ -18,7 +18,7 @@
     context.play = sites.start_site(3)
 
 
-@given('engines that end as they begin to run a request that holds "{text}"')
+@given('engines that crash when they start a request that contains "{text}"')
 def step_fatal(context: Any, text: str) -> None:
     context.body = BODY % text.encode()
     # Ids under which it was sent, and engines that ended.
@@ -72,14 +72,14 @@
         site.start_upstream(f"ec{context.ended}")
 
 
-@when("such a request comes to the hosts in turn until three engines ended")
+@when("such a request is sent to the hosts in turn until three engines crashed")
 def step_until_three(context: Any) -> None:
     while context.ended < 3:
         assert len(context.ids) < 12, context.ended
         send_fatal(context)
 
 
-@when("it comes {times:d} times more, after {after_s:g} s")
+@when("it is sent {times:d} more times, after {after_s:g} s")
 def step_again(context: Any, times: int, after_s: float) -> None:
     time.sleep(after_s)
     context.before = context.ended
@@ -113,7 +113,7 @@
         sites.wait_serving(site, ip)
 
 
-@then("at most {most:d} more engines ended")
+@then("at most {most:d} more engines crashed")
 def step_few_ended(context: Any, most: int) -> None:
     more = context.ended - context.before
     assert more <= most, (context.before, more)
--- a/tests/steps/host_steps.py
+++ b/tests/steps/host_steps.py
@@ -35,7 +35,7 @@
     set_faults(context, first, cut_after=count)
 
 
-@given("engines fail whatever they are to go on with")
+@given("engines fail when they resume an answer")
 def step_fail_resumed(context: Any) -> None:
     set_faults(context, "e", resumed_status=500)
 
@@ -60,7 +60,7 @@
     context.play.stage.call("POST", "store", "/faults", {"keep": count})
 
 
-@when('a stream is asked for with key "{key}"')
+@when('a stream is requested with key "{key}"')
 def step_stream(context: Any, key: str) -> None:
     context.res = context.play.ask("/notes/x", key)
     context.body, context.is_cut = b"", False
@@ -71,20 +71,20 @@
         context.is_cut = True
 
 
-@then("events 1 to {count:d} come, and the connection is cut")
+@then("events 1 to {count:d} arrive, and the connection is cut")
 def step_cut(context: Any, count: int) -> None:
     found = forward_steps.read_ids(context.body)
     assert found == list(range(1, count + 1)), context.body
     assert context.is_cut
 
 
-@when('"{path}" is asked for with key "{key}"')
+@when('"{path}" is requested with key "{key}"')
 def step_path(context: Any, path: str, key: str) -> None:
     step_times(context, path, 1, key)
     context.res = context.answers[0]
 
 
-@when('"{path}" is asked for {times:d} times with key "{key}"')
+@when('"{path}" is requested {times:d} times with key "{key}"')
 def step_times(context: Any, path: str, times: int, key: str) -> None:
     context.answers = []
     for _ in range(times):
@@ -93,7 +93,7 @@
         context.answers.append(res)
 
 
-@when('a stream is asked for with key "{key}" and left after {seconds:g} s')
+@when('a stream is requested with key "{key}" and closed after {seconds:g} s')
 def step_leave(context: Any, key: str, seconds: float) -> None:
     res = context.play.ask("/notes/x", key)
     time.sleep(seconds)
@@ -101,7 +101,7 @@
 
 
 @when(
-    'a stream is asked for with key "{key}" and the host is stopped meanwhile'
+    'a stream is requested with key "{key}" and the host is stopped during it'
 )
 def step_stop(context: Any, key: str) -> None:
     platform = context.play
@@ -151,7 +151,7 @@
     sites.start_host(context.play, "127.0.0.2")
 
 
-@then("events 1 to {last:d} come, with the receipt of the engine")
+@then("events 1 to {last:d} arrive, with the signature of the engine")
 def step_events(context: Any, last: int) -> None:
     ids = [int(n[4:]) for n in context.body.decode().split("\n") if "id:" in n]
     assert ids == list(range(1, last + 1)), context.body
@@ -173,7 +173,7 @@
     assert len(context.play.get_runs()) == context.before
 
 
-@then("the answer is {status:d}, and the target came as it was sent")
+@then("the answer is {status:d}, and the upstream got the target unchanged")
 def step_target(context: Any, status: int) -> None:
     assert context.res.status == status
     runs = [r for r in context.play.get_runs() if "Hop-Count" not in r]
@@ -242,7 +242,7 @@
     )
 
 
-@then("all {count:d} events come")
+@then("all {count:d} events arrive")
 def step_all_events(context: Any, count: int) -> None:
     context.thread.join(10.0)
     assert context.stream["body"].count(b"id: ") == count
--- a/tests/steps/hostcopies_steps.py
+++ b/tests/steps/hostcopies_steps.py
@@ -70,7 +70,9 @@
     assert len(context.play.stage.call("GET", "s4", "/runs")) == before
 
 
-@then("the host tells of the copy in one line, and of the store's era")
+@then(
+    "the host logs the copy in one line, and its metrics show the store's era"
+)
 def step_tells(context: Any) -> None:
     process = context.play.stage.processes["127.0.0.1"]
 
--- a/tests/steps/meters_steps.py
+++ b/tests/steps/meters_steps.py
@@ -32,12 +32,12 @@
     context.meters.note_store_call(0.004)
 
 
-@then("the library for figures is not loaded")
+@then("the metrics library is not loaded")
 def step_not_loaded(context: Any) -> None:
     assert context.meters._collected is None
 
 
-@when("the figures are asked for")
+@when("the metrics are read")
 def step_asked(context: Any) -> None:
     body, _ = renderer.render(context.meters.collect(), [])
     context.figures = body.decode()
@@ -57,7 +57,7 @@
     assert figures["egretspur_queue_wait_seconds_count"] == refusals, figures
 
 
-@then("fewer than {count:d} figures wait")
+@then("fewer than {count:d} samples are pending")
 def step_wait(context: Any, count: int) -> None:
     stage.wait_until(
         lambda: len(context.meters._waiting) < count, 10.0, "figures taken"
@@ -88,7 +88,7 @@
     thread.join()
 
 
-@then('more than half of the time since then is told for "{duty}"')
+@then('more than half of the time since then is counted for "{duty}"')
 def step_busy_told(context: Any, duty: str) -> None:
     used = {
         name: seconds - context.before.get(name, 0.0)
--- a/tests/steps/quarantine_steps.py
+++ b/tests/steps/quarantine_steps.py
@@ -63,7 +63,8 @@
 
 
 @when(
-    "the router of one host reports that {count:d} engines ended under a prompt"
+    "the router of one host reports that {count:d} engines crashed under a"
+    " prompt"
 )
 def step_report(context: Any, count: int) -> None:
     context.name = fingerprint.compute(
@@ -113,7 +114,7 @@
         assert list_held(context, control) == [context.name]
 
 
-@when("an operator lets it go at the other host")
+@when("an operator releases it at the other host")
 def step_release(context: Any) -> None:
     code, out, err = context.play.run_cli(
         "kl-2", "quarantine", "release", context.name
@@ -128,7 +129,7 @@
         wait_answered(context, control, STONE)
 
 
-@then("the command line says that there is none, and that it knows no other")
+@then("the command line lists none, and refuses to release an unknown one")
 def step_none(context: Any) -> None:
     for control in CONTROLS:
         code, out, _ = context.play.run_cli(control, "quarantine", "list")
--- a/tests/steps/repeats_steps.py
+++ b/tests/steps/repeats_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a host process that may repeat nothing."""
+"""Steps on a host process whose retry budget is empty."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 from tests.steps import host_steps
 
 
-@given("a site whose host may repeat nothing")
+@given("a site whose host has an empty retry budget")
 def step_site(context: Any) -> None:
     context.play = sites.start_site(
         1, retry_budget_ratio=0.0, retry_allowance=0
     )
 
 
-@when("a caller asks {times:d} times on one connection, each run is cut")
+@when(
+    "a caller sends {times:d} requests on one connection, and each run is cut"
+)
 def step_ask(context: Any, times: int) -> None:
     context.pool = urllib3.HTTPConnectionPool(
         "127.0.0.1", context.play.ports["frontend"], retries=False, timeout=5.0
@@ -52,7 +54,7 @@
         )
 
 
-@then("each answer is a whole 502, and the connection was kept")
+@then("each answer is a complete 502, and the connection was kept")
 def step_whole(context: Any) -> None:
     for res in context.answers:
         assert res.status == 502, (res.status, res.data)
--- a/tests/steps/soak_steps.py
+++ b/tests/steps/soak_steps.py
@@ -28,7 +28,7 @@
     context.found = soak.check(make_answer(path, status, ids, "r"), runs)
 
 
-@when("a request is answered with the answer of another one")
+@when("a request gets the answer of another one")
 def step_other(context: Any) -> None:
     answer = make_answer("/notes/x", 200, "12345", "q")
     context.found = soak.check(answer, 1)
@@ -48,7 +48,7 @@
     context.soak, context.found = soak.run(seed, seconds, hosts)
 
 
-@then("nothing is found wrong, and answers of each kind came")
+@then("no fault is found, and answers of each kind arrived")
 def step_nothing(context: Any) -> None:
     assert not context.found, context.found
     whole = {a.path for a in context.soak.answers if a.status == 200}
@@ -58,7 +58,7 @@
 
 @when(
     "a site of {hosts:d} hosts is soaked for {seconds:d} s with seed {seed:d},"
-    " and a request that ends engines"
+    " and a request that crashes engines"
 )
 def step_soaked_fatal(
     context: Any, hosts: int, seconds: int, seed: int
@@ -78,18 +78,18 @@
     )
 
 
-@then("the store came back from copies")
+@then("the store was replaced by copies")
 def step_copies(context: Any) -> None:
     assert any(n.startswith("store_copy") for n in context.soak.faults)
 
 
-@then("engines ended under it")
+@then("engines crashed under it")
 def step_ended(context: Any) -> None:
     runs = context.soak.count_runs()
     assert any(runs[i] for i in context.soak.fatal)
 
 
-@when("it was sent at {times} s and begun {runs} times")
+@when("it was sent at {times} s and started {runs} times")
 def step_sent_at(context: Any, times: str, runs: str) -> None:
     sent = {f"f{i}": float(t) for i, t in enumerate(times.split(", "))}
     begun = {f"f{i}": int(n) for i, n in enumerate(runs.split())}
@@ -103,7 +103,7 @@
 
 @when(
     "a site of {hosts:d} hosts is soaked for {seconds:d} s with seed {seed:d},"
-    " and upstreams that ask for less"
+    " and upstreams that send throttling headers"
 )
 def step_soaked_asking(
     context: Any, hosts: int, seconds: int, seed: int
@@ -113,12 +113,12 @@
     )
 
 
-@then("upstreams asked for less")
+@then("upstreams sent throttling headers")
 def step_asked(context: Any) -> None:
     assert set(context.soak.faults) & set(soak.ASKING)
 
 
-@when('one that asks for "{wish}" gets requests of two hosts at {times} s')
+@when('an upstream that sends "{wish}" gets requests of two hosts at {times} s')
 def step_came(context: Any, wish: str, times: str) -> None:
     name, _, value = wish.partition(" ")
     came = [
