--- a/egretspur/daemons/control.py
+++ b/egretspur/daemons/control.py
@@ -19,7 +19,7 @@
 # Modules whose import is blocked. The control daemon uses plain HTTP only; its
 # libraries work without TLS if it can't be imported, and hashlib falls back to
 # its own code. This saves 4.8 MB of the daemon's limit of 32 MB.
-LEFT_OUT: Final = ("ssl", "_hashlib")
+BLOCKED_MODULES: Final = ("ssl", "_hashlib")
 
 
 def main(argv: Sequence[str] | None = None) -> int:
@@ -32,7 +32,7 @@
     )
     if isinstance(cfg, int):
         return cfg
-    leave_out_modules()
+    block_imports()
     # Imported after the block, since it would import the blocked modules.
     from egretspur.daemons import controller
 
@@ -40,10 +40,10 @@
     return base.run_daemon(controller.Control(cfg), cfg.node)
 
 
-def leave_out_modules() -> None:
+def block_imports() -> None:
     """Makes the import of modules that are not needed fail."""
     modules: dict[str, Any] = sys.modules
-    for name in LEFT_OUT:
+    for name in BLOCKED_MODULES:
         if name not in modules:
             modules[name] = None
 
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -34,7 +34,7 @@
 _LOG: Final = logging.getLogger(__name__)
 
 # Threads that serve requests; the router's long poll occupies one of them.
-THREADS: Final = 6
+REQUEST_THREADS: Final = 6
 
 # Limit on the time that a router's report waits for a change.
 REPORT_WAIT_S: Final = 1.0
@@ -70,7 +70,9 @@
         self._config = configs.Config(self._note_config)
         self._draining = threading.Event()
         self._router = tables.RouterReport("", 0, 0, 0, (), {})
-        self._server = web.Server(self._make_app(), cfg.node.listen, THREADS)
+        self._server = web.Server(
+            self._make_app(), cfg.node.listen, REQUEST_THREADS
+        )
         self.address = self._server.address
         self._members = members.MembershipActor.start(
             cfg.node,
