--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -105,7 +105,7 @@
 
 
 @attrs.frozen
-class Neighbours:
+class PeerAccess:
     """How topics are read from other hosts."""
 
     hosts: Hosts
@@ -114,7 +114,7 @@
     list_at_start: handover.ListHosts
 
 
-class CopyAccount:
+class CopyReports:
     """Logs in one line how all topics changed as a copy replaced the store.
 
     The threads of all feeds use it without a lock, since a dict's methods are
@@ -151,13 +151,13 @@
         )
 
 
-class Followed:
+class StoreFeeds:
     """The feeds of a host, one for each topic."""
 
     def __init__(
         self,
         store: stores.Store,
-        near: Neighbours,
+        near: PeerAccess,
         to: desk.Desk,
         configure: Callable[[config.Configuration], None],
         saver: quarantined.Saver,
@@ -175,7 +175,7 @@
                 that is missing from the list lapses.
         """
         self._near = near
-        self.listed = UpstreamsSink(to)
+        self.upstreams_sink = UpstreamsSink(to)
         hosts = near.hosts
         configs = stores.make_config_topic(store)
         listed = stores.make_upstreams_topic(store, limits.lapse_s)
@@ -189,7 +189,7 @@
         self._listed = feeds.Feed(
             "upstreams",
             self._join(listed, hosts.list_alive),
-            self.listed,
+            self.upstreams_sink,
             lambda: reading.get_list_pace(hosts.is_reader()),
         )
         self._held = feeds.Feed(
@@ -207,7 +207,7 @@
         self.topics: Mapping[str, stores.Topic[Any]] = {
             t.name: t for t in (configs, listed, held)
         }
-        self._copies = CopyAccount(len(self.topics))
+        self._copies = CopyReports(len(self.topics))
         self._upstreams = listed
         for topic in self.topics.values():
             topic.table.note_copy = self._copies.add
@@ -249,7 +249,7 @@
         for feed in self._all:
             feed.close()
 
-    def poke(
+    def wake_outdated(
         self, known: reading.Known, heard: Sequence[datagrams.PeerUpdate]
     ) -> None:
         """Wakes the feeds for which another host has read something newer.
@@ -259,14 +259,14 @@
             heard: Updates of other hosts.
         """
         if any(reading.is_copy_due(known, n.known) for n in heard):
-            self.poke_all()
+            self.wake_all()
             return
         if any(reading.is_config_due(known, n.known) for n in heard):
             self._configs.poke()
         if any(reading.is_list_due(known, n.known) for n in heard):
             self._listed.poke()
 
-    def poke_all(self) -> None:
+    def wake_all(self) -> None:
         """Wakes all feeds: the reader or the era of the store has changed."""
         for feed in self._all:
             feed.poke()
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -43,18 +43,18 @@
 from egretspur.routing import broker, choice, desk, fleet, probes
 
 # Limit on concurrent requests; each occupies a thread, started on demand.
-THREADS: Final = 600
+MAX_REQUESTS: Final = 600
 
 # Limit on connections of callers, most of which are idle. The remaining file
 # descriptors are for connections to upstreams.
-CONNECTIONS: Final = 2000
+MAX_CALLER_CONNECTIONS: Final = 2000
 
 # Seconds between two checks of the settings file for changes.
 SETTINGS_PERIOD_S: Final = 1.0
 
 # After a stop signal new connections are served for this long: the load
 # balancer takes up to two seconds to notice that the host isn't ready.
-UNREADY_S: Final = 2.6
+UNREADY_LINGER_S: Final = 2.6
 
 # Time between the end of the drain and the end of the platform's grace period,
 # after which it kills the process.
@@ -82,7 +82,7 @@
             using: Optional mechanisms that are enabled.
         """
         self._cfg = cfg
-        self._using = using
+        self._mechanisms = using
         rng = random.Random()
         self._desk = desk.Desk(
             broker.Broker(
@@ -116,9 +116,9 @@
             ),
             cfg.ip,
             cfg.exchange_port,
-            self._make_news,
-            self._widen_news,
-            self._take_news,
+            self._make_update,
+            self._aggregate,
+            self._handle_updates,
         )
         self._pages_client = transport.Transport(0.3, 1.0)
         group = store.Group(self._store, f"orders-{cfg.data_centre}", cfg.ip)
@@ -126,9 +126,9 @@
         self._saver = quarantined.Saver(
             functools.partial(store.write_quarantine, self._store), rng
         )
-        self._followed = follow.Followed(
+        self._feeds = follow.StoreFeeds(
             self._store,
-            follow.Neighbours(
+            follow.PeerAccess(
                 self._exchange, self._ask_host, self._members.list_hosts
             ),
             self._desk,
@@ -152,9 +152,9 @@
         self._server = web.Server(
             self._make_app(),
             cfg.listen,
-            THREADS,
+            MAX_REQUESTS,
             grows=True,
-            connections=CONNECTIONS,
+            connections=MAX_CALLER_CONNECTIONS,
         )
         self._ready_server = web.Server(
             self._make_ready_app(), cfg.listen_ready, 1
@@ -166,7 +166,7 @@
                 handler,
                 self._get_version,
                 self.is_ready,
-                self._followed.topics,
+                self._feeds.topics,
                 lambda: self._store.eras.newest,
             ),
             cfg.listen_control,
@@ -178,7 +178,7 @@
 
     def start(self) -> None:
         """Starts serving; ready once configuration and list are read."""
-        self._followed.start()
+        self._feeds.start()
         self._saver.start()
         self._server.start()
         self._ready_server.start()
@@ -200,7 +200,7 @@
         self._duty.close()
         self._server.drain()
         # New requests arrive until the load balancer has noticed.
-        time.sleep(min(UNREADY_S, self._cfg.grace_s / 2))
+        time.sleep(min(UNREADY_LINGER_S, self._cfg.grace_s / 2))
         self._intake.stop()
         self._server.close_idle()
         while self._intake.in_flight and time.monotonic() < end_s:
@@ -211,7 +211,7 @@
         self._stop.set()
         self._keeper.close()
         self._duty.close()
-        self._followed.close()
+        self._feeds.close()
         self._saver.close()
         self._exchange.close()
         self._watch.close()
@@ -247,7 +247,7 @@
         return (
             not self._draining.is_set()
             and self._versions.newest is not None
-            and self._followed.listed.has_list
+            and self._feeds.upstreams_sink.has_list
         )
 
     def _get_version(self) -> int:
@@ -314,16 +314,18 @@
                     for e in live
                     if not view.memory.get_usage(e.id, now_s).count
                 ),
-                self._find_late(view, now_s),
+                self._find_slow_engines(view, now_s),
             )
 
         scene: ranges.Scene = self._desk.query(read)
         return scene
 
-    def _find_late(self, view: fleet.Fleet, now_s: float) -> frozenset[str]:
+    def _find_slow_engines(
+        self, view: fleet.Fleet, now_s: float
+    ) -> frozenset[str]:
         """Returns the engines that are too slow for the routes' time limits."""
         cfg = self._versions.newest
-        if cfg is None or not self._using.replacing_slow:
+        if cfg is None or not self._mechanisms.replacing_slow:
             return frozenset()
         return frozenset(
             upstream_id
@@ -346,44 +348,46 @@
         is_alive = self._engines.is_alive(entry.address, service.health_path)
         return upstreams.PLAIN_REPORT if is_alive else None
 
-    def _make_news(self, peers: Mapping[str, str]) -> datagrams.PeerUpdate:
+    def _make_update(self, peers: Mapping[str, str]) -> datagrams.PeerUpdate:
         """Returns this host's update for the others of its data centre."""
-        self._note_role()
+        self._update_role()
         now_s = time.monotonic()
         age_s = now_s - self._store.answered_s
         view = news.StoreView(
             self._get_version(),
             age_s,
-            now_s - self._followed.listed.answered_s,
+            now_s - self._feeds.upstreams_sink.answered_s,
             self._exchange.is_store_away(age_s),
-            self._followed.get_era(),
+            self._feeds.get_era(),
         )
         made: datagrams.PeerUpdate = self._desk.query(
-            lambda state: news.collect(state, self._cfg.ip, view, peers, now_s)
+            lambda state: news.make_update(
+                state, self._cfg.ip, view, peers, now_s
+            )
         )
         self._known = made.known
         return made
 
-    def _widen_news(self, own: datagrams.PeerUpdate) -> datagrams.PeerUpdate:
+    def _aggregate(self, own: datagrams.PeerUpdate) -> datagrams.PeerUpdate:
         """Returns the update of this data centre for other data centres."""
         widened: datagrams.PeerUpdate = self._desk.query(
-            lambda state: news.widen(state, own, time.monotonic())
+            lambda state: news.aggregate(state, own, time.monotonic())
         )
         return widened
 
-    def _note_role(self) -> None:
+    def _update_role(self) -> None:
         """Wakes the feeds to read at their new pace if the role changed."""
         is_reader = self._exchange.is_reader()
         if is_reader != self._was_reader:
             self._was_reader = is_reader
-            self._followed.poke_all()
+            self._feeds.wake_all()
 
-    def _take_news(
+    def _handle_updates(
         self, heard: Sequence[datagrams.PeerUpdate], hosts: int
     ) -> None:
-        self._followed.poke(self._known, heard)
+        self._feeds.wake_outdated(self._known, heard)
         self._watch.hear({i for n in heard for i in n.suspects})
-        told = tuple(news.read(n) for n in heard)
+        told = tuple(news.make_broker_update(n) for n in heard)
         seeds = len(self._cfg.seeds)
         self._desk.tell(desk.PeerUpdates(told, max(hosts, seeds)))
 
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -21,10 +21,10 @@
 # until the list shows them, but no longer than this: a heartbeat, a read of the
 # list, and the time after which the store counts as away. While the store is
 # away they are published without limit.
-LAYERS_TOLD_S: Final = 6.0
+LAYERS_PUBLISHED_S: Final = 6.0
 
 # Age sent for a list that was never read.
-NEVER_S: Final = 1e6
+NEVER_READ_AGE_S: Final = 1e6
 
 
 @attrs.frozen
@@ -43,7 +43,7 @@
     era: int
 
 
-def collect(
+def make_update(
     state: broker.Broker,
     ip: str,
     view: StoreView,
@@ -67,14 +67,14 @@
         known=reading.Known(
             view.version,
             own.compute_digest(),
-            min(max(0.0, view.list_age_s), NEVER_S),
+            min(max(0.0, view.list_age_s), NEVER_READ_AGE_S),
             view.era,
         ),
         usage=dict(own.memory.own),
         pace=own.paces.list_slow(),
         dead=own.health.list_dead(now_s),
         layers=own.layer_changes.list_published(
-            math.inf if view.is_away else LAYERS_TOLD_S, now_s
+            math.inf if view.is_away else LAYERS_PUBLISHED_S, now_s
         ),
         peers=peers,
         excess=own.memory.list_excess(now_s),
@@ -86,7 +86,7 @@
     )
 
 
-def widen(
+def aggregate(
     state: broker.Broker, news: datagrams.PeerUpdate, now_s: float
 ) -> datagrams.PeerUpdate:
     """Returns a host's update with the totals of its data centre."""
@@ -99,7 +99,7 @@
     )
 
 
-def read(news: datagrams.PeerUpdate) -> fleet.PeerUpdate:
+def make_broker_update(news: datagrams.PeerUpdate) -> fleet.PeerUpdate:
     """Returns the part of another host's update that the broker applies."""
     return fleet.PeerUpdate(
         host=news.host,
--- a/tests/routing/peers.py
+++ b/tests/routing/peers.py
@@ -48,9 +48,9 @@
     """
     receivers = []
     view = news.StoreView(1, 0.0, 0.0, False, 0)
-    own = news.collect(host.state, host.ip, view, {}, now_s)
+    own = news.make_update(host.state, host.ip, view, {}, now_s)
     near_data = datagrams.encode_update(own)
-    wide_data = datagrams.encode_update(news.widen(host.state, own, now_s))
+    wide_data = datagrams.encode_update(news.aggregate(host.state, own, now_s))
     near = [h for h in hosts if h.data_centre == host.data_centre]
     for other in hosts:
         is_near = other.data_centre == host.data_centre
@@ -60,7 +60,7 @@
             continue
         found = other.decoder.decode(near_data if is_near else wide_data)
         assert not isinstance(found, datagrams.InvalidUpdate), found
-        other.state.apply_peer_update(news.read(found), now_s)
+        other.state.apply_peer_update(news.make_broker_update(found), now_s)
         receivers.append(other)
     return receivers
 
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -119,7 +119,7 @@
     context.now_s += seconds
     told = {
         host: host.fleet.layer_changes.list_published(
-            news.LAYERS_TOLD_S, context.now_s
+            news.LAYERS_PUBLISHED_S, context.now_s
         )
         for host in (context.host, context.other)
     }
@@ -136,7 +136,7 @@
     for host in (context.host, context.other):
         held = host.fleet.roster.entries[context.name].layers
         assert held == fleets.make_upstream(context.name, layers).layers, held
-    tells = news.LAYERS_TOLD_S
+    tells = news.LAYERS_PUBLISHED_S
     assert not context.host.fleet.layer_changes.list_published(
         tells, context.now_s
     )
@@ -151,7 +151,7 @@
     end_s = context.now_s + seconds
     while context.now_s < end_s:
         moved = context.host.fleet.layer_changes.list_published(
-            news.LAYERS_TOLD_S, context.now_s
+            news.LAYERS_PUBLISHED_S, context.now_s
         )
         assert describe(moved) == told, (context.now_s, moved)
         held = context.host.fleet.roster.entries[context.name].layers
