--- a/egretspur/cli/client.py
+++ b/egretspur/cli/client.py
@@ -13,7 +13,7 @@
 T = TypeVar("T")
 
 # Time-out of an answer; exceeds the daemon's own time-outs on the log.
-READ_S: Final = 15.0
+READ_TIMEOUT_S: Final = 15.0
 
 
 @attrs.frozen
@@ -23,7 +23,7 @@
     kind: errors.ErrorKind
     message: str
     # Id by which the outcome can be looked up; empty if there is none.
-    ask_for: str = ""
+    outcome_id: str = ""
 
 
 class Client:
@@ -32,7 +32,7 @@
     def __init__(self, addresses: Sequence[str], operator: str) -> None:
         self._addresses = list(addresses)
         self._operator = operator
-        self._transport = transport.Transport(1.0, READ_S)
+        self._transport = transport.Transport(1.0, READ_TIMEOUT_S)
 
     def close(self) -> None:
         """Closes the connections."""
--- a/egretspur/cli/explain.py
+++ b/egretspur/cli/explain.py
@@ -23,10 +23,10 @@
 )
 
 # Changes of upstreams are shown from this long before the request's first line.
-BEFORE_S: Final = 2.0
+LOOKBACK_S: Final = 2.0
 
 # Log events that end a request.
-_ENDS: Final = (
+_END_EVENTS: Final = (
     decisions.RequestAnswered,
     decisions.RequestRefused,
     decisions.RequestCut,
@@ -46,7 +46,7 @@
 
 
 @attrs.define
-class Story:
+class Trace:
     """The log lines that concern one request."""
 
     request: str
@@ -54,7 +54,7 @@
     # Changes of the upstreams it was sent to.
     changes: list[Line] = attrs.Factory(list)
     # Other ids under which the same request was sent, oldest first.
-    others: list[str] = attrs.Factory(list)
+    other_ids: list[str] = attrs.Factory(list)
     # Number of lines that aren't JSON or lack a field.
     skipped: int = 0
     # Seconds from the last line to the next start of its host; None if the host
@@ -62,40 +62,40 @@
     restarted_s: float | None = None
 
 
-def read_lines(texts: Iterable[str], story: Story) -> list[Line]:
+def read_lines(texts: Iterable[str], trace: Trace) -> list[Line]:
     """Returns the lines of a log; counts those that can't be read.
 
     Args:
         texts: Lines; anything before the first brace of a line is ignored.
-        story: Receives the count of lines that were skipped.
+        trace: Receives the count of lines that were skipped.
     """
     lines = []
     for text in texts:
         start = text.find("{")
         if start < 0:
-            story.skipped += bool(text.strip())
+            trace.skipped += bool(text.strip())
             continue
         try:
             fields = orjson.loads(text[start:])
             if decisions.EVENT_KEY in fields:
                 lines.append(_make_line(fields))
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-            story.skipped += 1
+            trace.skipped += 1
     return lines
 
 
-def tell(request: str, texts: Iterable[str]) -> Story:
+def trace_request(request: str, texts: Iterable[str]) -> Trace:
     """Returns the lines of all logs that concern a request."""
-    story = Story(request)
-    lines = read_lines(texts, story)
-    story.lines = sorted(
+    trace = Trace(request)
+    lines = read_lines(texts, trace)
+    trace.lines = sorted(
         (n for n in lines if n.fields.get("request") == request),
         key=lambda n: n.time_s,
     )
-    if not story.lines:
-        return story
-    story.others = _find_others(story, lines)
-    last = story.lines[-1]
+    if not trace.lines:
+        return trace
+    trace.other_ids = _find_other_ids(trace, lines)
+    last = trace.lines[-1]
     starts = [
         n.time_s - last.time_s
         for n in lines
@@ -103,11 +103,11 @@
         and n.process == last.process
         and n.time_s > last.time_s
     ]
-    story.restarted_s = min(starts, default=None)
-    upstreams = _find_upstreams(story.lines)
-    first_s = story.lines[0].time_s - BEFORE_S
-    last_s = story.lines[-1].time_s
-    story.changes = sorted(
+    trace.restarted_s = min(starts, default=None)
+    upstreams = _find_upstreams(trace.lines)
+    first_s = trace.lines[0].time_s - LOOKBACK_S
+    last_s = trace.lines[-1].time_s
+    trace.changes = sorted(
         (
             n
             for n in lines
@@ -118,42 +118,42 @@
         ),
         key=lambda n: n.time_s,
     )
-    return story
+    return trace
 
 
-def format_story(story: Story) -> list[str]:
+def format_trace(trace: Trace) -> list[str]:
     """Returns the lines of text that are printed."""
-    if not story.lines:
-        return [f"No line of these logs names request {story.request}."]
-    start_s = story.lines[0].time_s
-    hosts = sorted({n.process for n in story.lines})
-    texts = [f"request {story.request} on {', '.join(hosts)}"]
-    marked = [(n, " ") for n in story.lines] + [(n, "*") for n in story.changes]
+    if not trace.lines:
+        return [f"No line of these logs names request {trace.request}."]
+    start_s = trace.lines[0].time_s
+    hosts = sorted({n.process for n in trace.lines})
+    texts = [f"request {trace.request} on {', '.join(hosts)}"]
+    marked = [(n, " ") for n in trace.lines] + [(n, "*") for n in trace.changes]
     for line, mark in sorted(marked, key=lambda m: m[0].time_s):
         texts.append(
             f"{line.time_s - start_s:+9.3f} s {mark} {line.process}"
             f"  {line.event.replace('_', ' ')}  {_format_fields(line)}"
         )
-    texts.append(f"end: {explain_end(story)}")
-    if story.others:
-        texts.append(f"the same request came as: {', '.join(story.others)}")
-    if story.changes:
+    texts.append(f"end: {explain_end(trace)}")
+    if trace.other_ids:
+        texts.append(f"the same request came as: {', '.join(trace.other_ids)}")
+    if trace.changes:
         texts.append("(* a change of an upstream on its path)")
     if len(hosts) > 1:
         texts.append("(times are of several hosts' clocks and may be apart)")
     return texts
 
 
-def explain_end(story: Story) -> str:
+def explain_end(trace: Trace) -> str:
     """Returns how a request ended and why, for the printed text."""
-    names = {decisions.make_event_name(c.__name__) for c in _ENDS}
-    ends = [n for n in story.lines if n.event in names]
+    names = {decisions.make_event_name(c.__name__) for c in _END_EVENTS}
+    ends = [n for n in trace.lines if n.event in names]
     if not ends:
-        return _explain_silence(story)
+        return _explain_missing_end(trace)
     last = ends[-1]
     fields = last.fields
     if last.event == "request_answered":
-        late = _explain_late(story, fields)
+        late = _describe_delays(trace, fields)
         return f"answered with {fields['status']}{late}"
     if last.event == "request_refused":
         return (
@@ -169,21 +169,21 @@
     )
 
 
-def _explain_silence(story: Story) -> str:
+def _explain_missing_end(trace: Trace) -> str:
     """Returns why the logs have no line for the end of a request."""
-    if story.restarted_s is None:
+    if trace.restarted_s is None:
         return "not in these logs; the host may have been killed"
     return (
         "its host ended without logging a stop, killed or without power, and"
-        f" started again {story.restarted_s:.1f} s after the last line"
+        f" started again {trace.restarted_s:.1f} s after the last line"
     )
 
 
-def _explain_late(story: Story, fields: dict[str, Any]) -> str:
+def _describe_delays(trace: Trace, fields: dict[str, Any]) -> str:
     """Returns the delays of an answer and their causes."""
-    failed = [n for n in story.lines if n.event == "attempt_failed"]
-    moved = [n for n in story.lines if n.event == "request_moved"]
-    queued = [n for n in story.lines if n.event == "request_queued"]
+    failed = [n for n in trace.lines if n.event == "attempt_failed"]
+    moved = [n for n in trace.lines if n.event == "request_moved"]
+    queued = [n for n in trace.lines if n.event == "request_queued"]
     text = (
         f", first event after {fields['first_s']} s, longest pause"
         f" {fields['gap_s']} s"
@@ -196,7 +196,7 @@
         text += "; waited for request memory"
     slow = [
         n.fields["upstream"]
-        for n in story.changes
+        for n in trace.changes
         if n.fields.get("state") == "slow"
     ]
     if slow:
@@ -215,13 +215,13 @@
     )
 
 
-def _find_others(story: Story, lines: Iterable[Line]) -> list[str]:
+def _find_other_ids(trace: Trace, lines: Iterable[Line]) -> list[str]:
     """Returns the other ids of the request, found by its fingerprint."""
-    prints = {n.fields.get("fingerprint") for n in story.lines} - {None, ""}
+    prints = {n.fields.get("fingerprint") for n in trace.lines} - {None, ""}
     same = [n for n in lines if n.fields.get("fingerprint") in prints]
     same.sort(key=lambda n: n.time_s)
     found = dict.fromkeys(str(n.fields.get("request")) for n in same)
-    return [r for r in found if r != story.request]
+    return [r for r in found if r != trace.request]
 
 
 def _find_upstreams(lines: Iterable[Line]) -> set[str]:
--- a/egretspur/cli/main.py
+++ b/egretspur/cli/main.py
@@ -58,7 +58,7 @@
     errors.ErrorKind.LOG_UNAVAILABLE: EXIT_UNREACHABLE,
 }
 
-_NEXT_BY_KIND: Final = {
+_HINT_BY_KIND: Final = {
     errors.ErrorKind.CONFLICT: "Make a new plan: `egretspur plan make INTENT`.",
     errors.ErrorKind.WRONG_STATE: "See `egretspur plan show PLAN`.",
     errors.ErrorKind.LOG_UNAVAILABLE: (
@@ -106,7 +106,7 @@
     _add_intent(commands)
     _add_plan(commands)
     _add_quarantine(commands)
-    _add_reading(commands)
+    _add_read_commands(commands)
     return parser
 
 
@@ -151,10 +151,10 @@
 
 
 def _add_quarantine(commands: Any) -> None:
-    held = commands.add_parser(
+    quarantine = commands.add_parser(
         "quarantine", help="requests that are sent to no upstream any more"
     )
-    verbs = held.add_subparsers(required=True, metavar="VERB")
+    verbs = quarantine.add_subparsers(required=True, metavar="VERB")
     listing = verbs.add_parser(
         "list", help="list them, with how many upstreams ended under each"
     )
@@ -166,7 +166,7 @@
     release.set_defaults(run=_release)
 
 
-def _add_reading(commands: Any) -> None:
+def _add_read_commands(commands: Any) -> None:
     status = commands.add_parser(
         "status", help="hosts, offsets in force, open plans"
     )
@@ -217,11 +217,11 @@
         return EXIT_USAGE
     if not args.files:
         texts = sys.stdin.read().splitlines()
-    story = explain.tell(args.request, texts)
-    print("\n".join(explain.format_story(story)))
-    if story.skipped:
-        print(f"{story.skipped} lines were skipped", file=sys.stderr)
-    return EXIT_OK if story.lines else EXIT_REFUSED
+    trace = explain.trace_request(args.request, texts)
+    print("\n".join(explain.format_trace(trace)))
+    if trace.skipped:
+        print(f"{trace.skipped} lines were skipped", file=sys.stderr)
+    return EXIT_OK if trace.lines else EXIT_REFUSED
 
 
 def _create_intent(client: clients.Client, args: argparse.Namespace) -> int:
@@ -246,14 +246,14 @@
     if isinstance(found, list):
         chosen = [i for i in found if i.id == args.intent]
         if not chosen:
-            return _complain(
+            return _print_problem(
                 clients.Problem(
                     errors.ErrorKind.NOT_FOUND,
                     f"no intent {args.intent}; see `egretspur intent list`",
                 )
             )
         return _show(chosen[0], args, tables.format_intent)
-    return _complain(found)
+    return _print_problem(found)
 
 
 def _show_plan(client: clients.Client, args: argparse.Namespace) -> int:
@@ -291,14 +291,14 @@
     path = f"/v1/quarantine/{args.fingerprint}/release"
     found = client.post(path, None, statuses.Quarantined)
     if isinstance(found, clients.Problem):
-        return _complain(found)
+        return _print_problem(found)
     return _show([found], args, tables.format_quarantine)
 
 
 def _show_status(client: clients.Client, args: argparse.Namespace) -> int:
     first = client.get("/v1/status", statuses.Status)
     if isinstance(first, clients.Problem):
-        return _complain(first)
+        return _print_problem(first)
     found = [first]
     for data_centre, addresses in sorted(first.remote.items()):
         found.append(_ask_remote(client, data_centre, addresses))
@@ -327,7 +327,7 @@
 def _show_outcome(client: clients.Client, args: argparse.Namespace) -> int:
     found = client.get(f"/v1/records/{args.id}", dict[str, Any])
     if isinstance(found, clients.Problem):
-        return _complain(found)
+        return _print_problem(found)
     if args.json:
         print(orjson.dumps(found).decode())
     elif found["in_log"]:
@@ -342,7 +342,7 @@
     res = conns.call("GET", args.address, "/state")
     conns.close()
     if isinstance(res, transport.Failed):
-        return _complain(
+        return _print_problem(
             clients.Problem(errors.ErrorKind.LOG_UNAVAILABLE, res.reason)
         )
     data = codec.load_json(res.body)
@@ -386,7 +386,7 @@
 
 def _show(found: Any, args: argparse.Namespace, form: Any) -> int:
     if isinstance(found, clients.Problem):
-        return _complain(found)
+        return _print_problem(found)
     if args.json:
         print(codec.dump(found).decode())
     else:
@@ -394,14 +394,14 @@
     return EXIT_OK
 
 
-def _complain(problem: clients.Problem) -> int:
+def _print_problem(problem: clients.Problem) -> int:
     print(f"egretspur: {problem.message}", file=sys.stderr)
-    if problem.ask_for:
+    if problem.outcome_id:
         print(
-            f"Look it up with `egretspur outcome {problem.ask_for}`.",
+            f"Look it up with `egretspur outcome {problem.outcome_id}`.",
             file=sys.stderr,
         )
-    hint = _NEXT_BY_KIND.get(problem.kind)
+    hint = _HINT_BY_KIND.get(problem.kind)
     if hint:
         print(hint, file=sys.stderr)
     return _EXIT_BY_KIND.get(problem.kind, EXIT_REFUSED)
--- a/tests/steps/logs_steps.py
+++ b/tests/steps/logs_steps.py
@@ -212,8 +212,8 @@
 @when('request "{request}" is explained')
 def step_explain(context: Any, request: str) -> None:
     context.request = request
-    context.story = explain.tell(request, context.log_texts)
-    context.told = explain.format_story(context.story)
+    context.story = explain.trace_request(request, context.log_texts)
+    context.told = explain.format_trace(context.story)
 
 
 @then('it names "{others}" as the same request')
