--- a/bench/duties.py
+++ b/bench/duties.py
@@ -83,9 +83,9 @@
     try:
         stage.wait_until(subject.is_ready, 20.0, "the host is ready")
         time.sleep(SETTLE_S)
-        before, began_s = duties.read_seconds(), time.monotonic()
+        before, began_s = duties.read_cpu_seconds(), time.monotonic()
         time.sleep(seconds)
-        after = duties.read_seconds()
+        after = duties.read_cpu_seconds()
         took_s = time.monotonic() - began_s
     finally:
         stop.set()
@@ -94,7 +94,7 @@
     return {
         duty: (after[duty] - before.get(duty, 0.0)) / took_s
         for duty in sorted(after)
-        if duty not in (BENCH, "main", duties.ENDED)
+        if duty not in (BENCH, "main", duties.ENDED_THREADS)
         and not duty.startswith("Thread")
     }
 
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -40,10 +40,10 @@
 REPORT_WAIT_S: Final = 1.0
 
 # Seconds between two reads of the platform's host list.
-HOSTS_S: Final = 1.0
+HOSTS_PERIOD_S: Final = 1.0
 
 # Default number of history lines in an answer.
-HISTORY_LINES: Final = 200
+DEFAULT_HISTORY_LINES: Final = 200
 
 
 class Control:
@@ -52,7 +52,7 @@
     def __init__(self, cfg: settings.ControlSettings) -> None:
         self._cfg = cfg
         self._incarnation = time.time_ns() // 1_000_000
-        self._me = f"{cfg.node.name}/{self._incarnation}"
+        self._instance = f"{cfg.node.name}/{self._incarnation}"
         platform = cfg.platform
         self._log = logs.LogClient(platform.log, platform.timeout_s)
         self._weights = weights.WeightsClient(
@@ -64,10 +64,10 @@
         self._hosts = hostview.HostView(
             self._hosts_client, cfg.node.data_centre
         )
-        self._changes = _Versions()
+        self._versions = _StateVersions()
         self._routing_offset = 0
-        self._news_offset = 0
-        self._config = configs.Config(self._note_config)
+        self._urgent_offset = 0
+        self._config = configs.Config(self._handle_config_change)
         self._draining = threading.Event()
         self._router = tables.RouterReport("", 0, 0, 0, (), {})
         self._server = web.Server(
@@ -79,7 +79,7 @@
             self.address,
             cfg.peers,
             self._incarnation,
-            members.Events(self._note_ahead, self._changes.bump),
+            members.Events(self._note_ahead, self._versions.bump),
         )
         self._follower = followers.Follower(
             cfg.node.name,
@@ -90,12 +90,12 @@
             self._get_rank,
         )
         self._orders = orders.OrdersActor.start(
-            self._me,
+            self._instance,
             cfg.node.data_centre,
             cfg.lease,
             self._config,
             self._hosts,
-            orders.Effects(self._append, self._note_leaving),
+            orders.Effects(self._append, self._publish_leaving),
         )
         self._desk = desks.Desk(
             cfg.node.name,
@@ -108,7 +108,7 @@
             ),
         )
         self._threads = [
-            _Periodic("hosts", HOSTS_S, self._refresh_hosts),
+            _Periodic("hosts", HOSTS_PERIOD_S, self._refresh_hosts),
             _Periodic("exchange", cfg.peers.period_s, self._exchange),
             _Periodic("orders", cfg.lease.period_s, self._tick_orders),
         ]
@@ -154,11 +154,13 @@
         app.add("GET", "/v1/history", self._get_history)
         app.add("GET", "/v1/quarantine", self._get_quarantine)
         app.add(
-            "POST", "/v1/quarantine/{fingerprint}/release", self._release_held
+            "POST",
+            "/v1/quarantine/{fingerprint}/release",
+            self._release_quarantined,
         )
-        app.add("POST", "/router/report", self._take_report)
-        app.add("POST", "/peer/exchange", self._take_exchange)
-        app.add("POST", "/peer/push", self._take_push)
+        app.add("POST", "/router/report", self._handle_report)
+        app.add("POST", "/peer/exchange", self._handle_exchange)
+        app.add("POST", "/peer/push", self._handle_push)
         app.add("GET", "/peer/records", self._get_records)
         app.add("GET", "/peer/snapshot", self._get_snapshot)
         registry = collectors.Registry()
@@ -214,7 +216,7 @@
             for n in view.nodes
         ]
         known = {h.name for h in hosts}
-        missing = sorted(n for n in self._get_listed() if n not in known)
+        missing = sorted(n for n in self._list_entry_hosts() if n not in known)
         return web.reply_json(
             statuses.Status(
                 self._cfg.node.data_centre,
@@ -223,14 +225,14 @@
                 tuple(hosts),
                 holders,
                 tuple(plans),
-                self._describe_trouble(missing),
+                self._describe_outages(missing),
                 view.remote,
             )
         )
 
-    def _describe_trouble(self, missing: list[str]) -> str:
+    def _describe_outages(self, missing: list[str]) -> str:
         parts = []
-        if not self._follower.log_reachable and not self._is_fed():
+        if not self._follower.log_reachable and not self._is_log_read():
             parts.append(
                 "cut off from the platform's log; serving by the last"
                 " configuration"
@@ -241,16 +243,16 @@
             parts.append("no news from: " + ", ".join(missing))
         return "; ".join(parts)
 
-    def _is_fed(self) -> bool:
+    def _is_log_read(self) -> bool:
         """Returns whether any host of the data centre can read the log."""
         return any(n.news.log_reachable for n in self._get_view().nodes)
 
     def _get_history(self, req: web.Request) -> web.Response:
-        count = web.get_query_int(req, "limit", HISTORY_LINES)
+        count = web.get_query_int(req, "limit", DEFAULT_HISTORY_LINES)
         lines = self._config.read(lambda s: list(s.history[-count:]))
         return web.reply_json(lines)
 
-    def _list_held(self) -> list[statuses.Quarantined]:
+    def _list_quarantined(self) -> list[statuses.Quarantined]:
         return [
             statuses.Quarantined(fingerprint, len(ends))
             for fingerprint, ends in sorted(self._get_view().ended.items())
@@ -258,16 +260,16 @@
         ]
 
     def _get_quarantine(self, req: web.Request) -> web.Response:
-        return web.reply_json(self._list_held())
+        return web.reply_json(self._list_quarantined())
 
-    def _release_held(self, req: web.Request) -> web.Response:
+    def _release_quarantined(self, req: web.Request) -> web.Response:
         """Has all routers accept a quarantined request again."""
         name = req.parts["fingerprint"]
         operator = _get_operator(req)
-        held = next(
-            (h for h in self._list_held() if h.fingerprint == name), None
+        found = next(
+            (h for h in self._list_quarantined() if h.fingerprint == name), None
         )
-        if held is None:
+        if found is None:
             return web.reply_refusal(
                 errors.Refusal(errors.ErrorKind.NOT_FOUND, repr(name))
             )
@@ -276,30 +278,30 @@
             "request released from quarantine",
             extra={"fingerprint": name, "operator": operator},
         )
-        return web.reply_json(held)
+        return web.reply_json(found)
 
-    def _take_report(self, req: web.Request) -> web.Response:
+    def _handle_report(self, req: web.Request) -> web.Response:
         report = codec.load(req.read_body(), tables.RouterReport)
         self._router = report
         for mark in report.leaving:
-            self._note_leaving(mark.upstream, mark.incarnation)
+            self._publish_leaving(mark.upstream, mark.incarnation)
         self._members.tell(members.SetDemand(report.demand))
         if report.ended:
             self._members.tell(members.AddCrashes(report.ended))
         if report.limits:
             self._members.tell(members.AddLimits(report.limits))
-        self._tell_node(self._config.read(lambda s: s.offset))
+        self._publish_node_state(self._config.read(lambda s: s.offset))
         # A report of version 0 is answered without waiting: it only carries an
         # urgent leaving mark, or the router has just started.
         if report.version:
-            self._changes.wait(report.version, REPORT_WAIT_S)
+            self._versions.wait(report.version, REPORT_WAIT_S)
         return web.reply_json(self._make_update(report))
 
     def _make_update(self, report: tables.RouterReport) -> tables.RoutingUpdate:
-        version = self._changes.version
+        version = self._versions.version
         view = self._get_view()
         offset = self._config.read(lambda s: s.offset)
-        table_version = self._changes.table_version
+        table_version = self._versions.table_version
         table = None
         if offset and (
             table_version != report.table_version or not report.in_force
@@ -316,13 +318,13 @@
                 for n in view.nodes
                 if n.news.router
             ),
-            len(self._get_listed()),
+            len(self._list_entry_hosts()),
             view.ended,
             view.limits,
             len(self._hosts.get_entry()),
         )
 
-    def _get_listed(self) -> list[str]:
+    def _list_entry_hosts(self) -> list[str]:
         """Returns this data centre's entry hosts in the platform's list."""
         return [
             h.name
@@ -339,13 +341,13 @@
             )
         )
 
-    def _take_exchange(self, req: web.Request) -> web.Response:
-        return self._receive(req, urgent=False)
+    def _handle_exchange(self, req: web.Request) -> web.Response:
+        return self._handle_gossip(req, urgent=False)
 
-    def _take_push(self, req: web.Request) -> web.Response:
-        return self._receive(req, urgent=True)
+    def _handle_push(self, req: web.Request) -> web.Response:
+        return self._handle_gossip(req, urgent=True)
 
-    def _receive(self, req: web.Request, urgent: bool) -> web.Response:
+    def _handle_gossip(self, req: web.Request, urgent: bool) -> web.Response:
         message = news.unpack_message(req.read_body())
         answer: news.GossipMessage = actors.ask(
             self._members, members.Received(message, urgent)
@@ -387,24 +389,24 @@
 
     # Callbacks of components.
 
-    def _note_config(self, state: states.State) -> None:
+    def _handle_config_change(self, state: states.State) -> None:
         offset = state.offset
         if state.routing_offset != self._routing_offset:
             # Most records are leases and plans in progress, which don't change
             # routing; making a table for each would be most of the work.
             self._routing_offset = state.routing_offset
-            self._changes.bump_table()
+            self._versions.bump_table()
         self._offset_gauge.set({}, offset)
         # Runs in the config actor's thread, so a query to that actor here
         # would deadlock.
-        is_urgent = state.news_offset != self._news_offset
-        self._news_offset = state.news_offset
-        self._tell_node(offset, is_urgent)
+        is_urgent = state.news_offset != self._urgent_offset
+        self._urgent_offset = state.news_offset
+        self._publish_node_state(offset, is_urgent)
 
     def _note_ahead(self, address: str, offset: int) -> None:
         self._follower.note_ahead(address, offset)
 
-    def _note_leaving(self, upstream: str, incarnation: str) -> None:
+    def _publish_leaving(self, upstream: str, incarnation: str) -> None:
         self._members.tell(members.AddLeaving(upstream, incarnation))
 
     def _append(self, record: records.Record) -> bool:
@@ -432,13 +434,13 @@
         )
         if not self._hosts.refresh(remote):
             return
-        self._changes.bump_table()
+        self._versions.bump_table()
         hosts = tuple(self._hosts.get_entry().values())
         self._members.tell(members.SetEntryHosts(hosts))
 
     def _exchange(self) -> None:
         self._log_gauge.set({}, int(self._follower.log_reachable))
-        self._tell_node(self._config.read(lambda s: s.offset))
+        self._publish_node_state(self._config.read(lambda s: s.offset))
         self._members.tell(members.Tick())
 
     def _tick_orders(self) -> None:
@@ -446,7 +448,7 @@
         # engine.
         actors.ask(self._orders, orders.Tick())
 
-    def _tell_node(self, offset: int, is_urgent: bool = False) -> None:
+    def _publish_node_state(self, offset: int, is_urgent: bool = False) -> None:
         self._members.tell(
             members.SetNode(
                 news.NodeState(
@@ -469,7 +471,7 @@
         return self._get_view().rank
 
 
-class _Versions:
+class _StateVersions:
     """Version numbers of the state sent to routers; reports wait on them."""
 
     def __init__(self) -> None:
--- a/egretspur/daemons/duties.py
+++ b/egretspur/daemons/duties.py
@@ -14,32 +14,32 @@
 from typing import Final
 
 # Duty that stands for all threads that have ended, mostly those of streams.
-ENDED: Final = "ended"
+ENDED_THREADS: Final = "ended"
 
 # Duties of threads that libraries or the interpreter name, by prefix of the
 # name.
-_NAMES: Final = {
+_DUTY_BY_PREFIX: Final = {
     "MainThread": "main",
     "DeskActor": "decisions",
     "waitress": "requests",
 }
 
 
-def read_seconds() -> Mapping[str, float]:
+def read_cpu_seconds() -> Mapping[str, float]:
     """Returns the processor seconds of each duty since the process started."""
     seconds: dict[str, float] = {}
     for thread in threading.enumerate():
-        duty = name_duty(thread.name)
+        duty = get_duty(thread.name)
         seconds[duty] = seconds.get(duty, 0.0) + _read_thread(thread)
     ended_s = time.process_time() - sum(seconds.values())
     # The clocks are read one after the other: the difference may be negative.
-    seconds[ENDED] = max(0.0, ended_s)
+    seconds[ENDED_THREADS] = max(0.0, ended_s)
     return seconds
 
 
-def name_duty(thread: str) -> str:
+def get_duty(thread: str) -> str:
     """Returns the duty of a thread from its name: ``probe_3`` is ``probe``."""
-    for start, duty in _NAMES.items():
+    for start, duty in _DUTY_BY_PREFIX.items():
         if thread.startswith(start):
             return duty
     return thread.rstrip("0123456789").rstrip("-_ ") or thread
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -49,8 +49,8 @@
 class ConfigSink:
     """Applies configurations from the feed."""
 
-    def __init__(self, take: Callable[[config.Configuration], None]) -> None:
-        self._take = take
+    def __init__(self, apply: Callable[[config.Configuration], None]) -> None:
+        self._apply = apply
 
     def take_whole(
         self, values: Mapping[str, config.Configuration | feeds.Unreadable]
@@ -67,7 +67,7 @@
         """Applies newer configurations; ignores one that can't be read."""
         for _, cfg in values:
             if isinstance(cfg, config.Configuration):
-                self._take(cfg)
+                self._apply(cfg)
 
     def note_contact(self, is_back: bool) -> None:
         """Does nothing: no decision depends on when the store last answered."""
@@ -76,8 +76,8 @@
 class UpstreamsSink:
     """Passes the list of upstreams from the feed to the broker's desk."""
 
-    def __init__(self, to: desk.Desk) -> None:
-        self._desk = to
+    def __init__(self, broker_desk: desk.Desk) -> None:
+        self._desk = broker_desk
         self.has_list = False
         # Monotonic time of the store's last answer.
         self.answered_s = -math.inf
@@ -157,8 +157,8 @@
     def __init__(
         self,
         store: stores.Store,
-        near: PeerAccess,
-        to: desk.Desk,
+        peer_access: PeerAccess,
+        broker_desk: desk.Desk,
         configure: Callable[[config.Configuration], None],
         saver: quarantined.Saver,
         limits: bounds.Bounds,
@@ -167,106 +167,108 @@
 
         Args:
             store: Store with the topics.
-            near: Access to the other hosts.
-            to: Receives upstreams and quarantined requests.
+            peer_access: Access to the other hosts.
+            broker_desk: Receives upstreams and quarantined requests.
             configure: Receives configurations.
             saver: Writes quarantined requests to the store.
             limits: Bounds of the host, with the time after which an entry
                 that is missing from the list lapses.
         """
-        self._near = near
-        self.upstreams_sink = UpstreamsSink(to)
-        hosts = near.hosts
-        configs = stores.make_config_topic(store)
-        listed = stores.make_upstreams_topic(store, limits.lapse_s)
-        held = stores.make_quarantine_topic(store)
-        self._configs = feeds.Feed(
+        self._peer_access = peer_access
+        self.upstreams_sink = UpstreamsSink(broker_desk)
+        hosts = peer_access.hosts
+        config_topic = stores.make_config_topic(store)
+        upstreams_topic = stores.make_upstreams_topic(store, limits.lapse_s)
+        quarantine_topic = stores.make_quarantine_topic(store)
+        self._config_feed = feeds.Feed(
             "config",
-            self._join(configs, hosts.list_newest),
+            self._make_source(config_topic, hosts.list_newest),
             ConfigSink(configure),
             lambda: reading.get_config_pace(hosts.is_reader()),
         )
-        self._listed = feeds.Feed(
+        self._upstreams_feed = feeds.Feed(
             "upstreams",
-            self._join(listed, hosts.list_alive),
+            self._make_source(upstreams_topic, hosts.list_alive),
             self.upstreams_sink,
             lambda: reading.get_list_pace(hosts.is_reader()),
         )
-        self._held = feeds.Feed(
+        self._quarantine_feed = feeds.Feed(
             "quarantine",
-            self._join(held, hosts.list_alive),
-            quarantined.Sink(to, saver),
+            self._make_source(quarantine_topic, hosts.list_alive),
+            quarantined.Sink(broker_desk, saver),
             lambda: quarantined.get_pace(hosts.is_reader()),
         )
-        self._all: tuple[feeds.Feed[Any], ...] = (
-            self._configs,
-            self._listed,
-            self._held,
+        self._feeds: tuple[feeds.Feed[Any], ...] = (
+            self._config_feed,
+            self._upstreams_feed,
+            self._quarantine_feed,
         )
         # Topics by name, served to other hosts.
         self.topics: Mapping[str, stores.Topic[Any]] = {
-            t.name: t for t in (configs, listed, held)
+            t.name: t for t in (config_topic, upstreams_topic, quarantine_topic)
         }
         self._copies = CopyReports(len(self.topics))
-        self._upstreams = listed
+        self._upstreams_topic = upstreams_topic
         for topic in self.topics.values():
             topic.table.note_copy = self._copies.add
-        held.table.note_copy = functools.partial(self._note_held_copy, saver)
+        quarantine_topic.table.note_copy = functools.partial(
+            self._handle_quarantine_copy, saver
+        )
 
-    def _note_held_copy(
+    def _handle_quarantine_copy(
         self,
         saver: quarantined.Saver,
         report: tables.CopyReport[quarantine.Ends],
     ) -> None:
         self._copies.add(report)
-        saver.note_copy(report, self._near.hosts.is_reader())
+        saver.note_copy(report, self._peer_access.hosts.is_reader())
 
     def get_era(self) -> int:
         """Returns the store's era at the last read of the upstream list."""
-        at = self._upstreams.table.get_position()
+        at = self._upstreams_topic.table.get_position()
         return at.era if at else 0
 
-    def _join(
+    def _make_source(
         self, topic: stores.Topic[T], list_hosts: handover.ListHosts
     ) -> handover.HandoverSource[T]:
         """Returns a source that reads a topic from other hosts or the store."""
-        near = self._near
+        access = self._peer_access
         return handover.HandoverSource(
             topic,
             list_hosts,
-            near.ask,
-            lambda: not near.hosts.is_reader(),
-            near.list_at_start,
+            access.ask,
+            lambda: not access.hosts.is_reader(),
+            access.list_at_start,
         )
 
     def start(self) -> None:
         """Starts the feeds."""
-        for feed in self._all:
+        for feed in self._feeds:
             feed.start()
 
     def close(self) -> None:
         """Stops the feeds; reads in progress end by their own time-outs."""
-        for feed in self._all:
+        for feed in self._feeds:
             feed.close()
 
     def wake_outdated(
-        self, known: reading.Known, heard: Sequence[datagrams.PeerUpdate]
+        self, known: reading.Known, updates: Sequence[datagrams.PeerUpdate]
     ) -> None:
         """Wakes the feeds for which another host has read something newer.
 
         Args:
             known: What this host has read, as last sent to others.
-            heard: Updates of other hosts.
+            updates: Updates of other hosts.
         """
-        if any(reading.is_copy_due(known, n.known) for n in heard):
+        if any(reading.is_copy_due(known, u.known) for u in updates):
             self.wake_all()
             return
-        if any(reading.is_config_due(known, n.known) for n in heard):
-            self._configs.poke()
-        if any(reading.is_list_due(known, n.known) for n in heard):
-            self._listed.poke()
+        if any(reading.is_config_due(known, u.known) for u in updates):
+            self._config_feed.poke()
+        if any(reading.is_list_due(known, u.known) for u in updates):
+            self._upstreams_feed.poke()
 
     def wake_all(self) -> None:
         """Wakes all feeds: the reader or the era of the store has changed."""
-        for feed in self._all:
+        for feed in self._feeds:
             feed.poke()
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -72,29 +72,29 @@
         self,
         cfg: node.HostSettings,
         handler: logs.BoundedHandler | None = None,
-        using: mechanisms.Mechanisms = mechanisms.ALL,
+        enabled: mechanisms.Mechanisms = mechanisms.ALL,
     ) -> None:
         """Makes a host.
 
         Args:
             cfg: Its settings.
             handler: Log handler, whose dropped lines the metrics show.
-            using: Optional mechanisms that are enabled.
+            enabled: Optional mechanisms that are enabled.
         """
         self._cfg = cfg
-        self._mechanisms = using
+        self._mechanisms = enabled
         rng = random.Random()
         self._desk = desk.Desk(
             broker.Broker(
                 cfg.data_centre,
                 _make_budget(cfg),
                 rng,
-                using,
+                enabled,
             )
         )
         self._engines = upstream.EngineClient()
         self._watch = watch.StreamWatch(
-            self._desk, self._engines, using.silence
+            self._desk, self._engines, enabled.silence
         )
         self._intake = intake.Intake(
             self._desk,
@@ -360,20 +360,20 @@
             self._exchange.is_store_away(age_s),
             self._feeds.get_era(),
         )
-        made: datagrams.PeerUpdate = self._desk.query(
+        update: datagrams.PeerUpdate = self._desk.query(
             lambda state: news.make_update(
                 state, self._cfg.ip, view, peers, now_s
             )
         )
-        self._known = made.known
-        return made
+        self._known = update.known
+        return update
 
     def _aggregate(self, own: datagrams.PeerUpdate) -> datagrams.PeerUpdate:
         """Returns the update of this data centre for other data centres."""
-        widened: datagrams.PeerUpdate = self._desk.query(
+        total: datagrams.PeerUpdate = self._desk.query(
             lambda state: news.aggregate(state, own, time.monotonic())
         )
-        return widened
+        return total
 
     def _update_role(self) -> None:
         """Wakes the feeds to read at their new pace if the role changed."""
@@ -383,13 +383,13 @@
             self._feeds.wake_all()
 
     def _handle_updates(
-        self, heard: Sequence[datagrams.PeerUpdate], hosts: int
+        self, updates: Sequence[datagrams.PeerUpdate], hosts: int
     ) -> None:
-        self._feeds.wake_outdated(self._known, heard)
-        self._watch.hear({i for n in heard for i in n.suspects})
-        told = tuple(news.make_broker_update(n) for n in heard)
+        self._feeds.wake_outdated(self._known, updates)
+        self._watch.hear({i for u in updates for i in u.suspects})
+        broker_updates = tuple(news.make_broker_update(u) for u in updates)
         seeds = len(self._cfg.seeds)
-        self._desk.tell(desk.PeerUpdates(told, max(hosts, seeds)))
+        self._desk.tell(desk.PeerUpdates(broker_updates, max(hosts, seeds)))
 
     def reload(self) -> None:
         """Requests a reload of the settings; safe in a signal handler."""
--- a/egretspur/daemons/meters.py
+++ b/egretspur/daemons/meters.py
@@ -33,7 +33,7 @@
     "store_call": (0.005, 0.01, 0.05, 0.2, 0.5, 1.0, 2.0, _INF),
 }
 
-_TEXTS: Final[Mapping[str, str]] = {
+_HELP_TEXTS: Final[Mapping[str, str]] = {
     "first_event": "From arrival to the first event or the answer",
     "event_gap": "Longest pause between two events of an answer",
     "queue_wait": "From arrival to a refusal",
@@ -42,7 +42,7 @@
 }
 
 # Field that holds the cause, by log event.
-_CAUSES: Final[Mapping[str, str]] = {
+_CAUSE_FIELDS: Final[Mapping[str, str]] = {
     "request_refused": "kind",
     "attempt_failed": "why",
     "request_answered": "status",
@@ -57,7 +57,7 @@
 }
 
 # Histograms that a log event feeds, with the field of the observed value.
-_TIMES: Final[Mapping[str, tuple[tuple[str, str], ...]]] = {
+_HISTOGRAM_FIELDS: Final[Mapping[str, tuple[tuple[str, str], ...]]] = {
     "request_answered": (("first_event", "first_s"), ("event_gap", "gap_s")),
     "request_refused": (("queue_wait", "waited_s"),),
     "order_done": (("order", "took_s"),),
@@ -65,14 +65,14 @@
 
 # Pending samples that trigger the import of the library: some hundred
 # kilobytes, so that memory stays bounded if the metrics are never read.
-MOST_WAITING: Final = 4096
+MAX_PENDING_SAMPLES: Final = 4096
 
 # Name of samples of the counter; other samples name their histogram.
 _DECISIONS: Final = "decisions"
 
 
 @attrs.frozen
-class _Figure:
+class _Sample:
     """One observation of a metric."""
 
     name: str
@@ -80,7 +80,7 @@
     value: float
 
 
-class _Collected:
+class _LoadedMetrics:
     """The metrics, as objects of the metrics library."""
 
     def __init__(self) -> None:
@@ -95,19 +95,19 @@
         self._times = {
             name: collectors.Histogram(
                 f"egretspur_{name}_seconds",
-                _TEXTS[name],
+                _HELP_TEXTS[name],
                 registry=self.registry,
                 buckets=bounds,
             )
             for name, bounds in _BUCKETS.items()
         }
 
-    def take(self, figure: _Figure) -> None:
+    def add(self, sample: _Sample) -> None:
         """Adds a sample to its counter or histogram."""
-        if figure.name == _DECISIONS:
-            self._counter.inc(dict(figure.labels))
+        if sample.name == _DECISIONS:
+            self._counter.inc(dict(sample.labels))
         else:
-            self._times[figure.name].observe({}, figure.value)
+            self._times[sample.name].observe({}, sample.value)
 
 
 class Meters(logging.Handler):
@@ -116,9 +116,9 @@
     def __init__(self) -> None:
         """Makes metrics without samples."""
         super().__init__()
-        self._guard = threading.Lock()
-        self._waiting: list[_Figure] = []
-        self._collected: _Collected | None = None
+        self._lock = threading.Lock()
+        self._pending: list[_Sample] = []
+        self._loaded: _LoadedMetrics | None = None
         self._is_loading = False
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -128,33 +128,33 @@
         if event is None:
             return
         labels = {"event": event, "cause": get_cause(fields)}
-        self._take(_Figure(_DECISIONS, labels, 1.0))
-        for name, field in _TIMES.get(event, ()):
-            self._take(_Figure(name, {}, float(fields[field])))
+        self._add(_Sample(_DECISIONS, labels, 1.0))
+        for name, field in _HISTOGRAM_FIELDS.get(event, ()):
+            self._add(_Sample(name, {}, float(fields[field])))
 
     def note_store_call(self, seconds: float) -> None:
         """Records the duration of a call to the store."""
-        self._take(_Figure("store_call", {}, seconds))
+        self._add(_Sample("store_call", {}, seconds))
 
     def collect(self) -> collectors.Registry:
         """Returns all metrics; imports the metrics library if necessary."""
         # Imported outside the lock, for which each log call waits.
-        loaded = self._collected or _Collected()
-        with self._guard:
-            if self._collected is None:
-                self._collected = loaded
-            for figure in self._waiting:
-                self._collected.take(figure)
-            self._waiting.clear()
-            return self._collected.registry
-
-    def _take(self, figure: _Figure) -> None:
-        with self._guard:
-            if self._collected is not None:
-                self._collected.take(figure)
+        loaded = self._loaded or _LoadedMetrics()
+        with self._lock:
+            if self._loaded is None:
+                self._loaded = loaded
+            for sample in self._pending:
+                self._loaded.add(sample)
+            self._pending.clear()
+            return self._loaded.registry
+
+    def _add(self, sample: _Sample) -> None:
+        with self._lock:
+            if self._loaded is not None:
+                self._loaded.add(sample)
                 return
-            self._waiting.append(figure)
-            if len(self._waiting) < MOST_WAITING or self._is_loading:
+            self._pending.append(sample)
+            if len(self._pending) < MAX_PENDING_SAMPLES or self._is_loading:
                 return
             self._is_loading = True
         threading.Thread(target=self.collect, name="meters").start()
@@ -162,5 +162,5 @@
 
 def get_cause(fields: Mapping[str, Any]) -> str:
     """Returns the cause in a log line's fields; empty if it has none."""
-    name = _CAUSES.get(fields[decisions.EVENT_KEY])
+    name = _CAUSE_FIELDS.get(fields[decisions.EVENT_KEY])
     return str(fields[name]) if name else ""
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -46,7 +46,7 @@
 def make_update(
     state: broker.Broker,
     ip: str,
-    view: StoreView,
+    store_view: StoreView,
     peers: Mapping[str, str],
     now_s: float,
 ) -> datagrams.PeerUpdate:
@@ -55,7 +55,7 @@
     Args:
         state: State of the host's broker.
         ip: Address of the host.
-        view: What the host has read from the store.
+        store_view: What the host has read from the store.
         peers: Other hosts to list, with their data centres.
         now_s: Monotonic time.
     """
@@ -63,18 +63,18 @@
     return datagrams.PeerUpdate(
         host=ip,
         data_centre=own.data_centre,
-        store_age_s=max(0.0, view.age_s),
+        store_age_s=max(0.0, store_view.age_s),
         known=reading.Known(
-            view.version,
+            store_view.version,
             own.compute_digest(),
-            min(max(0.0, view.list_age_s), NEVER_READ_AGE_S),
-            view.era,
+            min(max(0.0, store_view.list_age_s), NEVER_READ_AGE_S),
+            store_view.era,
         ),
         usage=dict(own.memory.own),
         pace=own.paces.list_slow(),
         dead=own.health.list_dead(now_s),
         layers=own.layer_changes.list_published(
-            math.inf if view.is_away else LAYERS_PUBLISHED_S, now_s
+            math.inf if store_view.is_away else LAYERS_PUBLISHED_S, now_s
         ),
         peers=peers,
         excess=own.memory.list_excess(now_s),
@@ -87,11 +87,11 @@
 
 
 def aggregate(
-    state: broker.Broker, news: datagrams.PeerUpdate, now_s: float
+    state: broker.Broker, own: datagrams.PeerUpdate, now_s: float
 ) -> datagrams.PeerUpdate:
     """Returns a host's update with the totals of its data centre."""
     return attrs.evolve(
-        news,
+        own,
         usage=state.fleet.memory.sum_data_centre(now_s),
         suspects=state.fleet.list_suspects(now_s, True),
         spent=state.retry_budgets.sum_spent(now_s),
@@ -99,19 +99,19 @@
     )
 
 
-def make_broker_update(news: datagrams.PeerUpdate) -> fleet.PeerUpdate:
+def make_broker_update(update: datagrams.PeerUpdate) -> fleet.PeerUpdate:
     """Returns the part of another host's update that the broker applies."""
     return fleet.PeerUpdate(
-        host=news.host,
-        data_centre=news.data_centre,
-        usage=news.usage,
-        pace=news.pace,
-        dead=news.dead,
-        layers=news.layers,
-        excess=news.excess,
-        suspects=news.suspects,
-        spent=news.spent,
-        ended=news.ended,
-        is_new=news.is_new,
-        limits=news.limits,
+        host=update.host,
+        data_centre=update.data_centre,
+        usage=update.usage,
+        pace=update.pace,
+        dead=update.dead,
+        layers=update.layers,
+        excess=update.excess,
+        suspects=update.suspects,
+        spent=update.spent,
+        ended=update.ended,
+        is_new=update.is_new,
+        limits=update.limits,
     )
--- a/egretspur/daemons/pages.py
+++ b/egretspur/daemons/pages.py
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class Figures:
+class GaugeValues:
     """Values of the gauges that are read from the broker."""
 
     # Values of gauges without labels, by name.
@@ -85,20 +85,22 @@
             for name, text in {**_GAUGES, **_BY_UPSTREAM, **_BY_DUTY}.items()
         }
 
-    def set(self, figures: Figures, own: Mapping[str, float]) -> None:
-        """Sets all gauges; `own` has the values that aren't the broker's."""
-        for name, value in {**figures.plain, **own}.items():
+    def set(
+        self, broker_values: GaugeValues, process_values: Mapping[str, float]
+    ) -> None:
+        """Sets all gauges, from the values of the broker and the process."""
+        for name, value in {**broker_values.plain, **process_values}.items():
             self._gauges[name].set({}, value)
-        for name, values in figures.by_upstream.items():
+        for name, values in broker_values.by_upstream.items():
             for upstream, value in values.items():
                 self._gauges[name].set({"upstream": upstream}, value)
-        for duty, seconds in duties.read_seconds().items():
+        for duty, seconds in duties.read_cpu_seconds().items():
             self._gauges["processor_seconds"].set({"duty": duty}, seconds)
 
 
 def make_pages(
-    to: desk.Desk,
-    counted: meters.Meters,
+    broker_desk: desk.Desk,
+    host_meters: meters.Meters,
     handler: logs.BoundedHandler | None,
     get_version: Callable[[], int],
     is_ready: Callable[[], bool],
@@ -109,15 +111,15 @@
     gauges: list[_Gauges] = []
 
     def collect() -> collectors.Registry:
-        registry = counted.collect()
+        registry = host_meters.collect()
         if not gauges:
             gauges.append(_Gauges(registry))
-        own = {
+        process_values = {
             "configuration_version": get_version(),
             "store_era": get_era(),
             "log_lines_dropped": handler.dropped if handler else 0,
         }
-        gauges[0].set(to.query(read_figures), own)
+        gauges[0].set(broker_desk.query(read_gauges), process_values)
         return registry
 
     def get_snapshot(req: web.Request) -> web.Response:
@@ -128,7 +130,9 @@
         )
 
     app = web.App()
-    web.add_diagnostics(app, collect, lambda: to.query(dump_state), is_ready)
+    web.add_diagnostics(
+        app, collect, lambda: broker_desk.query(dump_state), is_ready
+    )
     app.add("GET", "/v1/snapshot/{topic}", get_snapshot)
     return app
 
@@ -149,13 +153,13 @@
     return positions.Position(web.get_query_int(req, "era", 0), offset)
 
 
-def read_figures(state: broker.Broker) -> Figures:
+def read_gauges(state: broker.Broker) -> GaugeValues:
     """Returns the gauges' values of a broker."""
     now_s = time.monotonic()
     fleet = state.fleet
     usages = {i: fleet.memory.get_usage(i, now_s) for i in fleet.roster.entries}
     counts = state.counts
-    return Figures(
+    return GaugeValues(
         {
             "requests_arrived": counts.arrived,
             "requests_started": counts.started,
--- a/egretspur/daemons/router.py
+++ b/egretspur/daemons/router.py
@@ -31,10 +31,10 @@
 _LOG: Final = logging.getLogger(__name__)
 
 # Seconds between two checks of deadlines and probes.
-TICK_S: Final = 0.1
+TICK_PERIOD_S: Final = 0.1
 
 # Seconds between two updates of the gauges.
-GAUGES_S: Final = 1.0
+GAUGES_PERIOD_S: Final = 1.0
 
 # Threads reserved for diagnostics and peers while all streams are in use.
 SPARE_THREADS: Final = 8
@@ -99,7 +99,7 @@
             self._claims,
             self._services,
         )
-        self._link = link.Link(cfg.control, self._traffic, self._note_update)
+        self._link = link.Link(cfg.control, self._traffic, self._handle_update)
         self._stop = threading.Event()
         self._draining = threading.Event()
         self._has_table = threading.Event()
@@ -183,16 +183,16 @@
         problem = self._check_request(req)
         if problem is not None:
             return web.reply_refusal(problem)
-        self._enter()
+        self._count_started()
         try:
             res = self._completions.handle(req)
         except BaseException:
-            self._leave(500)
+            self._count_ended(500)
             raise
         if isinstance(res.body, completions.EventBody):
-            res.body = _CountedBody(res.body, self._leave)
+            res.body = _CountedBody(res.body, self._count_ended)
         else:
-            self._leave(res.status)
+            self._count_ended(res.status)
         return res
 
     def _make_relay(
@@ -204,13 +204,13 @@
         problem = self._check_request(req)
         if problem is not None:
             return web.reply_refusal(problem)
-        self._enter()
+        self._count_started()
         try:
             res = self._run_call(req)
         except BaseException:
-            self._leave(500)
+            self._count_ended(500)
             raise
-        self._leave(res.status)
+        self._count_ended(res.status)
         return res
 
     def _run_call(self, req: web.Request) -> web.Response:
@@ -280,16 +280,16 @@
             )
         return None
 
-    def _enter(self) -> None:
+    def _count_started(self) -> None:
         with self._lock:
             self._in_flight += 1
 
-    def _leave(self, status: int) -> None:
+    def _count_ended(self, status: int) -> None:
         with self._lock:
             self._in_flight -= 1
         self._requests.inc({"status": str(status)})
 
-    def _note_update(self, update: tables.RoutingUpdate) -> None:
+    def _handle_update(self, update: tables.RoutingUpdate) -> None:
         self._has_table.set()
         self._claims.set_routers(
             {
@@ -316,9 +316,9 @@
 
     def _tick(self) -> None:
         gauges_s = time.monotonic()
-        while not self._stop.wait(TICK_S):
+        while not self._stop.wait(TICK_PERIOD_S):
             self._traffic.tell(traffics.Tick())
-            if time.monotonic() - gauges_s >= GAUGES_S:
+            if time.monotonic() - gauges_s >= GAUGES_PERIOD_S:
                 gauges_s = time.monotonic()
                 self._set_gauges()
 
@@ -358,14 +358,14 @@
     """A pushed body that calls a function at its end."""
 
     body: web.PushedBody
-    leave: Callable[[int], None]
+    on_end: Callable[[int], None]
 
     def push(self, write: Callable[[bytes], Any]) -> None:
         """Writes the body."""
         try:
             self.body.push(write)
         finally:
-            self.leave(200)
+            self.on_end(200)
 
 
 def _get_passed_headers(req: web.Request) -> dict[str, str]:
--- a/tests/steps/meters_steps.py
+++ b/tests/steps/meters_steps.py
@@ -34,7 +34,7 @@
 
 @then("the metrics library is not loaded")
 def step_not_loaded(context: Any) -> None:
-    assert context.meters._collected is None
+    assert context.meters._loaded is None
 
 
 @when("the metrics are read")
@@ -60,13 +60,13 @@
 @then("fewer than {count:d} samples are pending")
 def step_wait(context: Any, count: int) -> None:
     stage.wait_until(
-        lambda: len(context.meters._waiting) < count, 10.0, "figures taken"
+        lambda: len(context.meters._pending) < count, 10.0, "samples taken"
     )
 
 
 @then('the thread "{thread}" has the duty "{duty}"')
 def step_duty(context: Any, thread: str, duty: str) -> None:
-    assert duties.name_duty(thread) == duty, duties.name_duty(thread)
+    assert duties.get_duty(thread) == duty, duties.get_duty(thread)
 
 
 @when('a thread named "{name}" uses the processor')
@@ -79,11 +79,11 @@
         ready.set()
         stop.wait()
 
-    context.before = duties.read_seconds()
+    context.before = duties.read_cpu_seconds()
     thread = threading.Thread(target=use, name=name)
     thread.start()
     ready.wait()
-    context.after = duties.read_seconds()
+    context.after = duties.read_cpu_seconds()
     stop.set()
     thread.join()
 
