--- a/egretspur/cli/tables.py
+++ b/egretspur/cli/tables.py
@@ -174,9 +174,9 @@
     return moment.strftime("%Y-%m-%d %H:%M:%S")
 
 
-def format_quarantine(held: Sequence[statuses.Quarantined]) -> str:
+def format_quarantine(quarantined: Sequence[statuses.Quarantined]) -> str:
     """Returns a table of the quarantined requests."""
-    if not held:
+    if not quarantined:
         return "no request is in quarantine"
-    rows = [[h.fingerprint, str(h.ended)] for h in held]
+    rows = [[h.fingerprint, str(h.ended)] for h in quarantined]
     return format_table(["FINGERPRINT", "UPSTREAMS ENDED"], rows)
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -37,7 +37,7 @@
 REQUEST_THREADS: Final = 6
 
 # Limit on the time that a router's report waits for a change.
-REPORT_WAIT_S: Final = 1.0
+MAX_REPORT_WAIT_S: Final = 1.0
 
 # Seconds between two reads of the platform's host list.
 HOSTS_PERIOD_S: Final = 1.0
@@ -122,7 +122,7 @@
             thread.start()
 
     def drain(self) -> None:
-        """Stops being ready; waits for nothing, as commands take no time."""
+        """Stops being ready; needs no wait, as commands are short."""
         self._draining.set()
         self._server.drain()
 
@@ -294,7 +294,7 @@
         # A report of version 0 is answered without waiting: it only carries an
         # urgent leaving mark, or the router has just started.
         if report.version:
-            self._versions.wait(report.version, REPORT_WAIT_S)
+            self._versions.wait(report.version, MAX_REPORT_WAIT_S)
         return web.reply_json(self._make_update(report))
 
     def _make_update(self, report: tables.RouterReport) -> tables.RoutingUpdate:
@@ -342,15 +342,15 @@
         )
 
     def _handle_exchange(self, req: web.Request) -> web.Response:
-        return self._handle_gossip(req, urgent=False)
+        return self._handle_gossip(req, is_urgent=False)
 
     def _handle_push(self, req: web.Request) -> web.Response:
-        return self._handle_gossip(req, urgent=True)
+        return self._handle_gossip(req, is_urgent=True)
 
-    def _handle_gossip(self, req: web.Request, urgent: bool) -> web.Response:
+    def _handle_gossip(self, req: web.Request, is_urgent: bool) -> web.Response:
         message = news.unpack_message(req.read_body())
         answer: news.GossipMessage = actors.ask(
-            self._members, members.Received(message, urgent)
+            self._members, members.Received(message, is_urgent)
         )
         return web.Response(
             200,
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -50,7 +50,7 @@
 MAX_CALLER_CONNECTIONS: Final = 2000
 
 # Seconds between two checks of the settings file for changes.
-SETTINGS_PERIOD_S: Final = 1.0
+SETTINGS_CHECK_PERIOD_S: Final = 1.0
 
 # After a stop signal new connections are served for this long: the load
 # balancer takes up to two seconds to notice that the host isn't ready.
@@ -87,7 +87,7 @@
         self._desk = desk.Desk(
             broker.Broker(
                 cfg.data_centre,
-                _make_budget(cfg),
+                _make_budget_options(cfg),
                 rng,
                 enabled,
             )
@@ -111,7 +111,7 @@
             exchange.Peers(
                 cfg.ip,
                 cfg.data_centre,
-                _list_hosts(cfg.seeds),
+                _strip_ports(cfg.seeds),
                 data_centres=cfg.data_centres,
             ),
             cfg.ip,
@@ -145,7 +145,7 @@
         # What this host has read, as last sent to others.
         self._known = reading.Known(0, 0, math.inf)
         self._was_reader = False
-        self._file = node.SettingsFile()
+        self._settings_file = node.SettingsFile()
         self._is_reload_due = False
         self._draining = threading.Event()
         self._stop = threading.Event()
@@ -235,10 +235,10 @@
             cfg.limits.body_bytes,
             cfg.limits.idle_s + IDLE_SLACK_S,
         )
-        names_held = {w.name for w in (cfg.keys or {}).values()}
+        workspace_names = {w.name for w in (cfg.keys or {}).values()}
         decisions.record(
             decisions.ConfigurationApplied(
-                cfg.version, len(cfg.routes), len(names_held)
+                cfg.version, len(cfg.routes), len(workspace_names)
             )
         )
 
@@ -404,24 +404,24 @@
             decisions.record(decisions.Reloaded(str(exc)))
             return
         self._cfg = cfg
-        self._exchange.set_seeds(_list_hosts(cfg.seeds))
+        self._exchange.set_seeds(_strip_ports(cfg.seeds))
         decisions.record(decisions.Reloaded(""))
 
     def _watch_settings(self) -> None:
-        while not self._stop.wait(SETTINGS_PERIOD_S):
+        while not self._stop.wait(SETTINGS_CHECK_PERIOD_S):
             with guard.surviving("settings"):
-                if self._file.is_changed() or self._is_reload_due:
+                if self._settings_file.is_changed() or self._is_reload_due:
                     self._is_reload_due = False
                     self._reload()
 
 
-def _make_budget(cfg: node.HostSettings) -> repeats.Options:
+def _make_budget_options(cfg: node.HostSettings) -> repeats.Options:
     """Returns the options of the retry budgets of a host that has started."""
     since_s = math.inf
     if cfg.is_first_start:
         # No retry can have been spent before.
         since_s = -math.inf
-    elif not set(_list_hosts(cfg.seeds)) - {cfg.ip}:
+    elif not set(_strip_ports(cfg.seeds)) - {cfg.ip}:
         # No other host can send what was spent.
         since_s = time.monotonic()
     return repeats.Options(
@@ -429,7 +429,7 @@
     )
 
 
-def _list_hosts(addresses: Sequence[str]) -> list[str]:
+def _strip_ports(addresses: Sequence[str]) -> list[str]:
     """Returns the addresses without their ports."""
     return [a.rpartition(":")[0] for a in addresses]
 
--- a/egretspur/daemons/router.py
+++ b/egretspur/daemons/router.py
@@ -261,7 +261,7 @@
     def _check_request(self, req: web.Request) -> errors.Refusal | None:
         """Returns a refusal by header count or load, before the body is read.
 
-        None if the request is let in.
+        None if the request is accepted.
         """
         count = sum(1 for k in req.environ if k.startswith("HTTP_"))
         if count > self._cfg.limits.header_count:
