--- a/egretspur/cli/main.py
+++ b/egretspur/cli/main.py
@@ -184,22 +184,22 @@
     dump = commands.add_parser("dump", help="full state of one process")
     dump.add_argument("address", metavar="IP:PORT")
     dump.set_defaults(run=_dump)
-    story = commands.add_parser(
+    explain_parser = commands.add_parser(
         "explain",
         help="tell the story of one request from logs",
         description="Reads JSON-lines logs of one or more hosts and prints, in"
         " order, what was decided for a request and how it ended. Lines that"
         " can't be read are counted and skipped.",
     )
-    story.add_argument("request", help="the request's id")
-    story.add_argument(
+    explain_parser.add_argument("request", help="the request's id")
+    explain_parser.add_argument(
         "files",
         nargs="*",
         type=pathlib.Path,
         metavar="FILE",
         help="logs; standard input if there are none",
     )
-    story.set_defaults(run=_explain)
+    explain_parser.set_defaults(run=_explain)
     check = commands.add_parser("settings", help="check settings files")
     verbs = check.add_subparsers(required=True, metavar="VERB")
     verb = verbs.add_parser("check", help="report every mistake in FILE")
