--- a/egretspur/cli/explain.py
+++ b/egretspur/cli/explain.py
@@ -1,9 +1,9 @@
-"""``egretspur explain``: the story of one request, from the logs of all hosts.
+"""``egretspur explain``: traces one request through the logs of all hosts.
 
 Reads the JSON lines that `egretspur.decisions` writes, from files or standard
-input, and prints in order what was decided for a request, from what, and how
-it ended. What else changed meanwhile on the upstreams of its path is shown
-too, since that is usually the cause.
+input, and prints in order of time which decisions were made for a request, from
+which data, and how the request ended. State changes of the upstreams on its
+path in that time are shown too, since one of them is usually the cause.
 """
 
 from __future__ import annotations
@@ -17,17 +17,16 @@
 
 from egretspur import decisions
 
-# Fields that are shown in front of a line or not at all.
+# Fields that are shown at the start of a printed line or not at all.
 _COMMON: Final = frozenset(
     {"time", "level", "name", "message", "process", "event", "request"}
 )
 
-# Changes of upstreams are shown from so long before the request's first line,
-# in seconds.
-BEFORE_S: Final = 2.0
+# Changes of upstreams are shown from this long before the request's first line.
+LOOKBACK_S: Final = 2.0
 
-# Lines that end a request.
-_ENDS: Final = (
+# Log events that end a request.
+_END_EVENTS: Final = (
     decisions.RequestAnswered,
     decisions.RequestRefused,
     decisions.RequestCut,
@@ -47,56 +46,56 @@
 
 
 @attrs.define
-class Story:
-    """What is known of one request."""
+class Trace:
+    """The log lines that concern one request."""
 
     request: str
     lines: list[Line] = attrs.Factory(list)
     # Changes of the upstreams it was sent to.
     changes: list[Line] = attrs.Factory(list)
-    # Ids under which the same request came too, oldest first.
-    others: list[str] = attrs.Factory(list)
-    # Lines that are no JSON or lack a field.
+    # Other ids under which the same request was sent, oldest first.
+    other_ids: list[str] = attrs.Factory(list)
+    # Number of lines that aren't JSON or lack a field.
     skipped: int = 0
-    # When the host of the last line next started, in seconds after that line;
-    # None if it did not.
+    # Seconds from the last line to the next start of its host; None if the host
+    # didn't start again.
     restarted_s: float | None = None
 
 
-def read_lines(texts: Iterable[str], story: Story) -> list[Line]:
+def read_lines(texts: Iterable[str], trace: Trace) -> list[Line]:
     """Returns the lines of a log; counts those that can't be read.
 
     Args:
-        texts: Lines; what stands before the first brace is passed over.
-        story: Its count of skipped lines is raised.
+        texts: Lines; anything before the first brace of a line is ignored.
+        trace: Receives the count of lines that were skipped.
     """
     lines = []
     for text in texts:
         start = text.find("{")
         if start < 0:
-            story.skipped += bool(text.strip())
+            trace.skipped += bool(text.strip())
             continue
         try:
             fields = orjson.loads(text[start:])
             if decisions.EVENT_KEY in fields:
                 lines.append(_make_line(fields))
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-            story.skipped += 1
+            trace.skipped += 1
     return lines
 
 
-def tell(request: str, texts: Iterable[str]) -> Story:
-    """Returns the story of a request from the lines of all logs."""
-    story = Story(request)
-    lines = read_lines(texts, story)
-    story.lines = sorted(
+def trace_request(request: str, texts: Iterable[str]) -> Trace:
+    """Returns the lines of all logs that concern a request."""
+    trace = Trace(request)
+    lines = read_lines(texts, trace)
+    trace.lines = sorted(
         (n for n in lines if n.fields.get("request") == request),
         key=lambda n: n.time_s,
     )
-    if not story.lines:
-        return story
-    story.others = _find_others(story, lines)
-    last = story.lines[-1]
+    if not trace.lines:
+        return trace
+    trace.other_ids = _find_other_ids(trace, lines)
+    last = trace.lines[-1]
     starts = [
         n.time_s - last.time_s
         for n in lines
@@ -104,11 +103,11 @@
         and n.process == last.process
         and n.time_s > last.time_s
     ]
-    story.restarted_s = min(starts, default=None)
-    upstreams = _find_upstreams(story.lines)
-    first_s = story.lines[0].time_s - BEFORE_S
-    last_s = story.lines[-1].time_s
-    story.changes = sorted(
+    trace.restarted_s = min(starts, default=None)
+    upstreams = _find_upstreams(trace.lines)
+    first_s = trace.lines[0].time_s - LOOKBACK_S
+    last_s = trace.lines[-1].time_s
+    trace.changes = sorted(
         (
             n
             for n in lines
@@ -119,42 +118,42 @@
         ),
         key=lambda n: n.time_s,
     )
-    return story
+    return trace
 
 
-def format_story(story: Story) -> list[str]:
-    """Returns the text that is printed."""
-    if not story.lines:
-        return [f"No line of these logs names request {story.request}."]
-    start_s = story.lines[0].time_s
-    hosts = sorted({n.process for n in story.lines})
-    texts = [f"request {story.request} on {', '.join(hosts)}"]
-    marked = [(n, " ") for n in story.lines] + [(n, "*") for n in story.changes]
+def format_trace(trace: Trace) -> list[str]:
+    """Returns the lines of text that are printed."""
+    if not trace.lines:
+        return [f"No line of these logs names request {trace.request}."]
+    start_s = trace.lines[0].time_s
+    hosts = sorted({n.process for n in trace.lines})
+    texts = [f"request {trace.request} on {', '.join(hosts)}"]
+    marked = [(n, " ") for n in trace.lines] + [(n, "*") for n in trace.changes]
     for line, mark in sorted(marked, key=lambda m: m[0].time_s):
         texts.append(
             f"{line.time_s - start_s:+9.3f} s {mark} {line.process}"
             f"  {line.event.replace('_', ' ')}  {_format_fields(line)}"
         )
-    texts.append(f"end: {explain_end(story)}")
-    if story.others:
-        texts.append(f"the same request came as: {', '.join(story.others)}")
-    if story.changes:
+    texts.append(f"end: {explain_end(trace)}")
+    if trace.other_ids:
+        texts.append(f"the same request came as: {', '.join(trace.other_ids)}")
+    if trace.changes:
         texts.append("(* a change of an upstream on its path)")
     if len(hosts) > 1:
         texts.append("(times are of several hosts' clocks and may be apart)")
     return texts
 
 
-def explain_end(story: Story) -> str:
-    """Returns how a request ended and why, in a sentence."""
-    names = {decisions.make_event_name(c.__name__) for c in _ENDS}
-    ends = [n for n in story.lines if n.event in names]
+def explain_end(trace: Trace) -> str:
+    """Returns how a request ended and why, for the printed text."""
+    names = {decisions.make_event_name(c.__name__) for c in _END_EVENTS}
+    ends = [n for n in trace.lines if n.event in names]
     if not ends:
-        return _explain_silence(story)
+        return _explain_missing_end(trace)
     last = ends[-1]
     fields = last.fields
     if last.event == "request_answered":
-        late = _explain_late(story, fields)
+        late = _describe_delays(trace, fields)
         return f"answered with {fields['status']}{late}"
     if last.event == "request_refused":
         return (
@@ -170,21 +169,21 @@
     )
 
 
-def _explain_silence(story: Story) -> str:
-    """Returns why a request has no end in the logs."""
-    if story.restarted_s is None:
+def _explain_missing_end(trace: Trace) -> str:
+    """Returns why the logs have no line for the end of a request."""
+    if trace.restarted_s is None:
         return "not in these logs; the host may have been killed"
     return (
-        "its host ended without a word, killed or without power, and started"
-        f" again {story.restarted_s:.1f} s after the last line"
+        "its host ended without logging a stop, killed or without power, and"
+        f" started again {trace.restarted_s:.1f} s after the last line"
     )
 
 
-def _explain_late(story: Story, fields: dict[str, Any]) -> str:
-    """Returns what held an answer up, if anything did."""
-    failed = [n for n in story.lines if n.event == "attempt_failed"]
-    moved = [n for n in story.lines if n.event == "request_moved"]
-    queued = [n for n in story.lines if n.event == "request_queued"]
+def _describe_delays(trace: Trace, fields: dict[str, Any]) -> str:
+    """Returns the delays of an answer and their causes."""
+    failed = [n for n in trace.lines if n.event == "attempt_failed"]
+    moved = [n for n in trace.lines if n.event == "request_moved"]
+    queued = [n for n in trace.lines if n.event == "request_queued"]
     text = (
         f", first event after {fields['first_s']} s, longest pause"
         f" {fields['gap_s']} s"
@@ -197,7 +196,7 @@
         text += "; waited for request memory"
     slow = [
         n.fields["upstream"]
-        for n in story.changes
+        for n in trace.changes
         if n.fields.get("state") == "slow"
     ]
     if slow:
@@ -216,13 +215,13 @@
     )
 
 
-def _find_others(story: Story, lines: Iterable[Line]) -> list[str]:
-    """Returns the other ids of the request, which its fingerprint tells."""
-    prints = {n.fields.get("fingerprint") for n in story.lines} - {None, ""}
+def _find_other_ids(trace: Trace, lines: Iterable[Line]) -> list[str]:
+    """Returns the other ids of the request, found by its fingerprint."""
+    prints = {n.fields.get("fingerprint") for n in trace.lines} - {None, ""}
     same = [n for n in lines if n.fields.get("fingerprint") in prints]
     same.sort(key=lambda n: n.time_s)
     found = dict.fromkeys(str(n.fields.get("request")) for n in same)
-    return [r for r in found if r != story.request]
+    return [r for r in found if r != trace.request]
 
 
 def _find_upstreams(lines: Iterable[Line]) -> set[str]:
--- a/egretspur/daemons/controller.py
+++ b/egretspur/daemons/controller.py
@@ -1,7 +1,7 @@
-"""The control daemon: follows the log, talks to peers, gives orders.
+"""The control daemon: follows the log, syncs with peers, gives orders.
 
-One on every entry host, all alike. Joins the slices; holds no decisions of
-its own.
+One runs on every entry host, and all run the same code. This module connects
+the components and serves the HTTP API; decisions are made in the components.
 """
 
 from __future__ import annotations
@@ -33,26 +33,26 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-# Request threads: one is held by the router's standing report.
-THREADS: Final = 6
+# Threads that serve requests; the router's long poll occupies one of them.
+REQUEST_THREADS: Final = 6
 
-# Longest hold of a router's report.
-REPORT_WAIT_S: Final = 1.0
+# Limit on the time that a router's report waits for a change.
+MAX_REPORT_WAIT_S: Final = 1.0
 
 # Seconds between two reads of the platform's host list.
-HOSTS_S: Final = 1.0
+HOSTS_PERIOD_S: Final = 1.0
 
-# History lines returned by default.
-HISTORY_LINES: Final = 200
+# Default number of history lines in an answer.
+DEFAULT_HISTORY_LINES: Final = 200
 
 
 class Control:
-    """One control process."""
+    """A control daemon."""
 
     def __init__(self, cfg: settings.ControlSettings) -> None:
         self._cfg = cfg
         self._incarnation = time.time_ns() // 1_000_000
-        self._me = f"{cfg.node.name}/{self._incarnation}"
+        self._instance = f"{cfg.node.name}/{self._incarnation}"
         platform = cfg.platform
         self._log = logs.LogClient(platform.log, platform.timeout_s)
         self._weights = weights.WeightsClient(
@@ -64,20 +64,22 @@
         self._hosts = hostview.HostView(
             self._hosts_client, cfg.node.data_centre
         )
-        self._changes = _Versions()
+        self._versions = _StateVersions()
         self._routing_offset = 0
-        self._news_offset = 0
-        self._config = configs.Config(self._note_config)
+        self._urgent_offset = 0
+        self._config = configs.Config(self._handle_config_change)
         self._draining = threading.Event()
         self._router = tables.RouterReport("", 0, 0, 0, (), {})
-        self._server = web.Server(self._make_app(), cfg.node.listen, THREADS)
+        self._server = web.Server(
+            self._make_app(), cfg.node.listen, REQUEST_THREADS
+        )
         self.address = self._server.address
         self._members = members.MembershipActor.start(
             cfg.node,
             self.address,
             cfg.peers,
             self._incarnation,
-            members.Events(self._note_ahead, self._changes.bump),
+            members.Events(self._note_ahead, self._versions.bump),
         )
         self._follower = followers.Follower(
             cfg.node.name,
@@ -88,12 +90,12 @@
             self._get_rank,
         )
         self._orders = orders.OrdersActor.start(
-            self._me,
+            self._instance,
             cfg.node.data_centre,
             cfg.lease,
             self._config,
             self._hosts,
-            orders.Effects(self._append, self._note_leaving),
+            orders.Effects(self._append, self._publish_leaving),
         )
         self._desk = desks.OperatorCommands(
             cfg.node.name,
@@ -106,13 +108,13 @@
             ),
         )
         self._threads = [
-            _Periodic("hosts", HOSTS_S, self._refresh_hosts),
+            _Periodic("hosts", HOSTS_PERIOD_S, self._refresh_hosts),
             _Periodic("exchange", cfg.peers.period_s, self._exchange),
             _Periodic("orders", cfg.lease.period_s, self._tick_orders),
         ]
 
     def start(self) -> None:
-        """Starts to serve."""
+        """Starts serving."""
         self._server.start()
         self._refresh_hosts()
         self._follower.start()
@@ -120,7 +122,7 @@
             thread.start()
 
     def drain(self) -> None:
-        """Stops being ready; operators' commands are answered at once."""
+        """Stops being ready; needs no wait, as commands are short."""
         self._draining.set()
         self._server.drain()
 
@@ -137,7 +139,7 @@
         self._weights.close()
         self._hosts_client.close()
 
-    # Pages.
+    # HTTP handlers.
 
     def _make_app(self) -> web.App:
         app = web.App()
@@ -152,11 +154,13 @@
         app.add("GET", "/v1/history", self._get_history)
         app.add("GET", "/v1/quarantine", self._get_quarantine)
         app.add(
-            "POST", "/v1/quarantine/{fingerprint}/release", self._release_held
+            "POST",
+            "/v1/quarantine/{fingerprint}/release",
+            self._release_quarantined,
         )
-        app.add("POST", "/router/report", self._take_report)
-        app.add("POST", "/peer/exchange", self._take_exchange)
-        app.add("POST", "/peer/push", self._take_push)
+        app.add("POST", "/router/report", self._handle_report)
+        app.add("POST", "/peer/exchange", self._handle_exchange)
+        app.add("POST", "/peer/push", self._handle_push)
         app.add("GET", "/peer/records", self._get_records)
         app.add("GET", "/peer/snapshot", self._get_snapshot)
         registry = collectors.Registry()
@@ -211,8 +215,8 @@
             )
             for n in view.nodes
         ]
-        heard = {h.name for h in hosts}
-        missing = sorted(n for n in self._get_listed() if n not in heard)
+        known = {h.name for h in hosts}
+        missing = sorted(n for n in self._list_entry_hosts() if n not in known)
         return web.reply_json(
             statuses.Status(
                 self._cfg.node.data_centre,
@@ -221,14 +225,14 @@
                 tuple(hosts),
                 holders,
                 tuple(plans),
-                self._describe_trouble(missing),
+                self._describe_outages(missing),
                 view.remote,
             )
         )
 
-    def _describe_trouble(self, missing: list[str]) -> str:
+    def _describe_outages(self, missing: list[str]) -> str:
         parts = []
-        if not self._follower.log_reachable and not self._is_fed():
+        if not self._follower.log_reachable and not self._is_log_read():
             parts.append(
                 "cut off from the platform's log; serving by the last"
                 " configuration"
@@ -239,16 +243,16 @@
             parts.append("no news from: " + ", ".join(missing))
         return "; ".join(parts)
 
-    def _is_fed(self) -> bool:
-        """Tells whether any host of the data centre reads the log."""
+    def _is_log_read(self) -> bool:
+        """Returns whether any host of the data centre can read the log."""
         return any(n.news.log_reachable for n in self._get_view().nodes)
 
     def _get_history(self, req: web.Request) -> web.Response:
-        count = web.get_query_int(req, "limit", HISTORY_LINES)
+        count = web.get_query_int(req, "limit", DEFAULT_HISTORY_LINES)
         lines = self._config.read(lambda s: list(s.history[-count:]))
         return web.reply_json(lines)
 
-    def _list_held(self) -> list[statuses.Quarantined]:
+    def _list_quarantined(self) -> list[statuses.Quarantined]:
         return [
             statuses.Quarantined(fingerprint, len(ends))
             for fingerprint, ends in sorted(self._get_view().ended.items())
@@ -256,47 +260,48 @@
         ]
 
     def _get_quarantine(self, req: web.Request) -> web.Response:
-        return web.reply_json(self._list_held())
+        return web.reply_json(self._list_quarantined())
 
-    def _release_held(self, req: web.Request) -> web.Response:
-        """Has all routers send a request again, as if it were answered."""
+    def _release_quarantined(self, req: web.Request) -> web.Response:
+        """Has all routers accept a quarantined request again."""
         name = req.parts["fingerprint"]
         operator = _get_operator(req)
-        held = next(
-            (h for h in self._list_held() if h.fingerprint == name), None
+        found = next(
+            (h for h in self._list_quarantined() if h.fingerprint == name), None
         )
-        if held is None:
+        if found is None:
             return web.reply_refusal(
                 errors.Refusal(errors.ErrorKind.NOT_FOUND, repr(name))
             )
         self._members.tell(members.AddCrashes({name: {}}))
         _LOG.info(
-            "request let go", extra={"fingerprint": name, "operator": operator}
+            "request released from quarantine",
+            extra={"fingerprint": name, "operator": operator},
         )
-        return web.reply_json(held)
+        return web.reply_json(found)
 
-    def _take_report(self, req: web.Request) -> web.Response:
+    def _handle_report(self, req: web.Request) -> web.Response:
         report = codec.load(req.read_body(), tables.RouterReport)
         self._router = report
         for mark in report.leaving:
-            self._note_leaving(mark.upstream, mark.incarnation)
+            self._publish_leaving(mark.upstream, mark.incarnation)
         self._members.tell(members.SetDemand(report.demand))
         if report.ended:
             self._members.tell(members.AddCrashes(report.ended))
         if report.limits:
             self._members.tell(members.AddLimits(report.limits))
-        self._tell_node(self._config.read(lambda s: s.offset))
-        # A report of version 0 wants its answer at once: it only carries an
-        # urgent mark, or the router has just started.
+        self._publish_node_state(self._config.read(lambda s: s.offset))
+        # A report of version 0 is answered without waiting: it only carries an
+        # urgent leaving mark, or the router has just started.
         if report.version:
-            self._changes.wait(report.version, REPORT_WAIT_S)
+            self._versions.wait(report.version, MAX_REPORT_WAIT_S)
         return web.reply_json(self._make_update(report))
 
     def _make_update(self, report: tables.RouterReport) -> tables.RoutingUpdate:
-        version = self._changes.version
+        version = self._versions.version
         view = self._get_view()
         offset = self._config.read(lambda s: s.offset)
-        table_version = self._changes.table_version
+        table_version = self._versions.table_version
         table = None
         if offset and (
             table_version != report.table_version or not report.in_force
@@ -313,14 +318,14 @@
                 for n in view.nodes
                 if n.news.router
             ),
-            len(self._get_listed()),
+            len(self._list_entry_hosts()),
             view.ended,
             view.limits,
             len(self._hosts.get_entry()),
         )
 
-    def _get_listed(self) -> list[str]:
-        """Returns this data centre's entry hosts by the platform's list."""
+    def _list_entry_hosts(self) -> list[str]:
+        """Returns this data centre's entry hosts in the platform's list."""
         return [
             h.name
             for h in self._hosts.get_entry().values()
@@ -336,16 +341,16 @@
             )
         )
 
-    def _take_exchange(self, req: web.Request) -> web.Response:
-        return self._receive(req, urgent=False)
+    def _handle_exchange(self, req: web.Request) -> web.Response:
+        return self._handle_gossip(req, is_urgent=False)
 
-    def _take_push(self, req: web.Request) -> web.Response:
-        return self._receive(req, urgent=True)
+    def _handle_push(self, req: web.Request) -> web.Response:
+        return self._handle_gossip(req, is_urgent=True)
 
-    def _receive(self, req: web.Request, urgent: bool) -> web.Response:
+    def _handle_gossip(self, req: web.Request, is_urgent: bool) -> web.Response:
         message = news.unpack_message(req.read_body())
         answer: news.GossipMessage = actors.ask(
-            self._members, members.Received(message, urgent)
+            self._members, members.Received(message, is_urgent)
         )
         return web.Response(
             200,
@@ -382,32 +387,32 @@
         has_state = self._config.read(lambda s: s.offset) > 0
         return has_state and not self._draining.is_set()
 
-    # Events.
+    # Callbacks of components.
 
-    def _note_config(self, state: states.State) -> None:
+    def _handle_config_change(self, state: states.State) -> None:
         offset = state.offset
         if state.routing_offset != self._routing_offset:
-            # Leases and plans under way are most of the records and no news
-            # to routers; a table for each would be most of the work.
+            # Most records are leases and plans in progress, which don't change
+            # routing; making a table for each would be most of the work.
             self._routing_offset = state.routing_offset
-            self._changes.bump_table()
+            self._versions.bump_table()
         self._offset_gauge.set({}, offset)
-        # Runs in the config actor's thread: asking that actor for anything
-        # here would wait for ever.
-        is_urgent = state.news_offset != self._news_offset
-        self._news_offset = state.news_offset
-        self._tell_node(offset, is_urgent)
+        # Runs in the config actor's thread, so a query to that actor here
+        # would deadlock.
+        is_urgent = state.news_offset != self._urgent_offset
+        self._urgent_offset = state.news_offset
+        self._publish_node_state(offset, is_urgent)
 
     def _note_ahead(self, address: str, offset: int) -> None:
         self._follower.request_pull(address, offset)
 
-    def _note_leaving(self, upstream: str, incarnation: str) -> None:
+    def _publish_leaving(self, upstream: str, incarnation: str) -> None:
         self._members.tell(members.AddLeaving(upstream, incarnation))
 
     def _append(self, record: records.Record) -> bool:
         res = self._log.append(records.STREAM, [records.CODEC.encode(record)])
         if isinstance(res, errors.Refusal):
-            _LOG.warning("append not answered: %s", res.reason)
+            _LOG.warning("append to the log not confirmed: %s", res.reason)
             return False
         return True
 
@@ -429,20 +434,21 @@
         )
         if not self._hosts.refresh(remote):
             return
-        self._changes.bump_table()
+        self._versions.bump_table()
         hosts = tuple(self._hosts.get_entry().values())
         self._members.tell(members.SetEntryHosts(hosts))
 
     def _exchange(self) -> None:
         self._log_gauge.set({}, int(self._follower.log_reachable))
-        self._tell_node(self._config.read(lambda s: s.offset))
+        self._publish_node_state(self._config.read(lambda s: s.offset))
         self._members.tell(members.Tick())
 
     def _tick_orders(self) -> None:
-        # Asked, not told: ticks must not pile up behind a slow engine.
+        # Waits for the actor, so that ticks don't queue up behind a slow
+        # engine.
         actors.ask(self._orders, orders.Tick())
 
-    def _tell_node(self, offset: int, is_urgent: bool = False) -> None:
+    def _publish_node_state(self, offset: int, is_urgent: bool = False) -> None:
         self._members.tell(
             members.SetNode(
                 news.NodeState(
@@ -465,8 +471,8 @@
         return self._get_view().rank
 
 
-class _Versions:
-    """Numbers of what routers are told, to be waited for."""
+class _StateVersions:
+    """Version numbers of the state sent to routers; reports wait on them."""
 
     def __init__(self) -> None:
         self._condition = threading.Condition()
@@ -474,19 +480,19 @@
         self.table_version = 1
 
     def bump(self) -> None:
-        """Counts a change of marks or demand."""
+        """Counts a change other than of the table, and wakes waiters."""
         with self._condition:
             self.version += 1
             self._condition.notify_all()
 
     def bump_table(self) -> None:
-        """Counts a change of the table."""
+        """Counts a change of the routing table, and wakes waiters."""
         with self._condition:
             self.table_version += 1
         self.bump()
 
     def wait(self, version: int, wait_s: float) -> None:
-        """Waits until the version is another one."""
+        """Waits until the version differs from `version`, or `wait_s`."""
         with self._condition:
             self._condition.wait_for(
                 lambda: self.version != version, timeout=wait_s
@@ -494,7 +500,7 @@
 
 
 class _Periodic:
-    """A thread that does one thing again and again."""
+    """A thread that calls a function periodically."""
 
     def __init__(
         self, name: str, period_s: float, work: Callable[[], None]
@@ -511,7 +517,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Stops it after what it is doing."""
+        """Stops the thread after its current call."""
         self._stop.set()
 
     def _run(self) -> None:
@@ -521,7 +527,7 @@
             except Exception:
                 if self._stop.is_set():
                     return
-                _LOG.exception("periodic work failed")
+                _LOG.exception("periodic task failed")
 
 
 def _read_status(
--- a/egretspur/daemons/follow.py
+++ b/egretspur/daemons/follow.py
@@ -1,7 +1,7 @@
-"""What a host follows in the store, and hands to whoever needs it.
+"""Follows the store's topics and applies their changes to the host.
 
-Three topics: the configuration, the list of upstreams, and the requests in
-quarantine. Each is read from other hosts where they have it
+There are three topics: the configuration, the list of upstreams, and the
+quarantined requests. Each is read from other hosts if they have it
 (`egretspur.catalog.handover`). Read next: `egretspur.catalog.feeds`.
 """
 
@@ -34,28 +34,28 @@
 
 
 class Hosts(Protocol):
-    """The other hosts, as far as reading the store needs them."""
+    """What reading the store needs to know of the other hosts."""
 
     def is_reader(self) -> bool:
-        """Tells whether this host reads the store for its data centre."""
+        """Returns whether this host reads the store for its data centre."""
 
     def list_newest(self) -> list[str]:
         """Returns the hosts that have the newest configuration."""
 
     def list_alive(self) -> list[str]:
-        """Returns the hosts that are heard now, the reader near by first."""
+        """Returns the live hosts, this data centre's reader first."""
 
 
 class ConfigSink:
-    """Takes configurations from the feed."""
+    """Applies configurations from the feed."""
 
-    def __init__(self, take: Callable[[config.Configuration], None]) -> None:
-        self._take = take
+    def __init__(self, apply: Callable[[config.Configuration], None]) -> None:
+        self._apply = apply
 
     def replace_all(
         self, values: Mapping[str, config.Configuration | feeds.Unreadable]
     ) -> None:
-        """Takes the newest configuration."""
+        """Applies the newest configuration."""
         self.apply_changes(tuple(values.items()))
 
     def apply_changes(
@@ -64,28 +64,28 @@
             tuple[str, config.Configuration | feeds.Unreadable | None], ...
         ],
     ) -> None:
-        """Takes newer configurations; one that can't be read changes none."""
+        """Applies newer configurations; ignores one that can't be read."""
         for _, cfg in values:
             if isinstance(cfg, config.Configuration):
-                self._take(cfg)
+                self._apply(cfg)
 
     def record_answer(self, is_back: bool) -> None:
-        """Nothing depends on when the configuration was last asked for."""
+        """Does nothing: no decision depends on when the store last answered."""
 
 
 class UpstreamsSink:
-    """Takes the list of upstreams from the feed."""
+    """Passes the list of upstreams from the feed to the broker's desk."""
 
-    def __init__(self, to: desk.Desk) -> None:
-        self._desk = to
+    def __init__(self, broker_desk: desk.Desk) -> None:
+        self._desk = broker_desk
         self.has_list = False
-        # When the store itself last answered, on the monotonic clock.
+        # Monotonic time of the store's last answer.
         self.answered_s = -math.inf
 
     def replace_all(
         self, values: Mapping[str, upstreams.Upstream | feeds.Unreadable]
     ) -> None:
-        """Takes the whole list."""
+        """Replaces the list."""
         self._desk.tell(desk.ReplaceUpstreams(values))
         self.has_list = True
 
@@ -95,43 +95,48 @@
             tuple[str, upstreams.Upstream | feeds.Unreadable | None], ...
         ],
     ) -> None:
-        """Takes changes."""
+        """Applies changes to the list."""
         self._desk.tell(desk.ChangeUpstreams(values))
 
     def record_answer(self, is_back: bool) -> None:
-        """Starts the grace for entries that lapsed during an outage."""
+        """Starts the grace period of entries that lapsed during an outage."""
         self.answered_s = time.monotonic()
         self._desk.tell(desk.StoreAnswered(is_back))
 
 
 @attrs.frozen
-class Neighbours:
-    """How other hosts are asked for what they have read."""
+class PeerAccess:
+    """How topics are read from other hosts."""
 
     hosts: Hosts
     ask: handover.FetchSnapshot
-    # Those to ask before anyone is heard.
+    # Lists the hosts to ask until updates of others have arrived.
     list_at_start: handover.ListHosts
 
 
-class CopyAccount:
-    """Joins what became of each topic at a copy of the store, for the log.
+class CopyReports:
+    """Logs in one line how all topics changed as a copy replaced the store.
 
-    Used by the threads of all feeds; a dict's methods are atomic.
+    The threads of all feeds use it without a lock, since a dict's methods are
+    atomic.
     """
 
     def __init__(self, topics: int) -> None:
-        """Makes an account that waits for so many topics."""
+        """Makes an object without reports.
+
+        Args:
+            topics: Number of topics whose reports make up a log line.
+        """
         self._topics = topics
         self._reports: dict[int, dict[str, tables.RestoreReport[Any]]] = {}
 
     def add(self, report: tables.RestoreReport[Any]) -> None:
-        """Takes a topic's report, and logs them once all are there."""
+        """Adds a topic's report; logs all reports once they are complete."""
         reports = self._reports.setdefault(report.era, {})
         reports[report.topic] = report
         if len(reports) < self._topics:
             return
-        # A copy that was followed by another one is not completed.
+        # Reports on earlier copies stay incomplete if another copy followed.
         for era in [e for e in self._reports if e <= report.era]:
             self._reports.pop(era, None)
         names = slice(decisions.MAX_NAMED)
@@ -146,14 +151,14 @@
         )
 
 
-class Followed:
-    """The feeds of a host."""
+class StoreFeeds:
+    """The feeds of a host, one for each topic."""
 
     def __init__(
         self,
         store: stores.Store,
-        near: Neighbours,
-        to: desk.Desk,
+        peer_access: PeerAccess,
+        broker_desk: desk.Desk,
         configure: Callable[[config.Configuration], None],
         saver: quarantined.Writer,
         limits: bounds.Bounds,
@@ -161,106 +166,109 @@
         """Makes feeds that have read nothing.
 
         Args:
-            store: Where the topics are.
-            near: The other hosts.
-            to: Takes upstreams and requests in quarantine.
-            configure: Takes configurations.
-            saver: Writes requests in quarantine.
-            limits: How long entries may be missing.
+            store: Store with the topics.
+            peer_access: Access to the other hosts.
+            broker_desk: Receives upstreams and quarantined requests.
+            configure: Receives configurations.
+            saver: Writes quarantined requests to the store.
+            limits: Bounds of the host, with the time after which an entry
+                that is missing from the list lapses.
         """
-        self._near = near
-        self.listed = UpstreamsSink(to)
-        hosts = near.hosts
-        configs = stores.make_config_topic(store)
-        listed = stores.make_upstreams_topic(store, limits.entry_ttl_s)
-        held = stores.make_quarantine_topic(store)
-        self._configs = feeds.Feed(
+        self._peer_access = peer_access
+        self.upstreams_sink = UpstreamsSink(broker_desk)
+        hosts = peer_access.hosts
+        config_topic = stores.make_config_topic(store)
+        upstreams_topic = stores.make_upstreams_topic(store, limits.entry_ttl_s)
+        quarantine_topic = stores.make_quarantine_topic(store)
+        self._config_feed = feeds.Feed(
             "config",
-            self._join(configs, hosts.list_newest),
+            self._make_source(config_topic, hosts.list_newest),
             ConfigSink(configure),
             lambda: reading.get_config_timing(hosts.is_reader()),
         )
-        self._listed = feeds.Feed(
+        self._upstreams_feed = feeds.Feed(
             "upstreams",
-            self._join(listed, hosts.list_alive),
-            self.listed,
+            self._make_source(upstreams_topic, hosts.list_alive),
+            self.upstreams_sink,
             lambda: reading.get_list_timing(hosts.is_reader()),
         )
-        self._held = feeds.Feed(
+        self._quarantine_feed = feeds.Feed(
             "quarantine",
-            self._join(held, hosts.list_alive),
-            quarantined.Sink(to, saver),
+            self._make_source(quarantine_topic, hosts.list_alive),
+            quarantined.Sink(broker_desk, saver),
             lambda: quarantined.get_timing(hosts.is_reader()),
         )
-        self._all: tuple[feeds.Feed[Any], ...] = (
-            self._configs,
-            self._listed,
-            self._held,
+        self._feeds: tuple[feeds.Feed[Any], ...] = (
+            self._config_feed,
+            self._upstreams_feed,
+            self._quarantine_feed,
         )
-        # By name, for hosts that ask this one.
+        # Topics by name, served to other hosts.
         self.topics: Mapping[str, stores.Topic[Any]] = {
-            t.name: t for t in (configs, listed, held)
+            t.name: t for t in (config_topic, upstreams_topic, quarantine_topic)
         }
-        self._copies = CopyAccount(len(self.topics))
-        self._upstreams = listed
+        self._copies = CopyReports(len(self.topics))
+        self._upstreams_topic = upstreams_topic
         for topic in self.topics.values():
             topic.table.on_restore = self._copies.add
-        held.table.on_restore = functools.partial(self._note_held_copy, saver)
+        quarantine_topic.table.on_restore = functools.partial(
+            self._handle_quarantine_copy, saver
+        )
 
-    def _note_held_copy(
+    def _handle_quarantine_copy(
         self,
         saver: quarantined.Writer,
         report: tables.RestoreReport[quarantine.CrashWeights],
     ) -> None:
         self._copies.add(report)
-        saver.rewrite_lost(report, self._near.hosts.is_reader())
+        saver.rewrite_lost(report, self._peer_access.hosts.is_reader())
 
     def get_era(self) -> int:
-        """Returns the era of the store as the list was last read."""
-        at = self._upstreams.table.get_position()
+        """Returns the store's era at the last read of the upstream list."""
+        at = self._upstreams_topic.table.get_position()
         return at.era if at else 0
 
-    def _join(
+    def _make_source(
         self, topic: stores.Topic[T], list_hosts: handover.ListHosts
     ) -> handover.HandoverSource[T]:
-        """Returns a topic that is read from other hosts too."""
-        near = self._near
+        """Returns a source that reads a topic from other hosts or the store."""
+        access = self._peer_access
         return handover.HandoverSource(
             topic,
             list_hosts,
-            near.ask,
-            lambda: not near.hosts.is_reader(),
-            near.list_at_start,
+            access.ask,
+            lambda: not access.hosts.is_reader(),
+            access.list_at_start,
         )
 
     def start(self) -> None:
-        """Starts to follow."""
-        for feed in self._all:
+        """Starts the feeds."""
+        for feed in self._feeds:
             feed.start()
 
     def close(self) -> None:
-        """Stops; reads that wait are left to their bounds."""
-        for feed in self._all:
+        """Stops the feeds; reads in progress end by their own time-outs."""
+        for feed in self._feeds:
             feed.close()
 
-    def poke(
-        self, known: reading.ReadState, heard: Sequence[datagrams.PeerUpdate]
+    def wake_outdated(
+        self, known: reading.ReadState, updates: Sequence[datagrams.PeerUpdate]
     ) -> None:
-        """Has read what another host has read already.
+        """Wakes the feeds for which another host has read something newer.
 
         Args:
-            known: What this host has, as it last told others.
-            heard: News of others.
+            known: What this host has read, as last sent to others.
+            updates: Updates of other hosts.
         """
-        if any(reading.is_era_stale(known, n.known) for n in heard):
-            self.poke_all()
+        if any(reading.is_era_stale(known, u.known) for u in updates):
+            self.wake_all()
             return
-        if any(reading.is_config_stale(known, n.known) for n in heard):
-            self._configs.wake()
-        if any(reading.is_list_stale(known, n.known) for n in heard):
-            self._listed.wake()
-
-    def poke_all(self) -> None:
-        """Has all read now: the reader, or the store's era, is another."""
-        for feed in self._all:
+        if any(reading.is_config_stale(known, u.known) for u in updates):
+            self._config_feed.wake()
+        if any(reading.is_list_stale(known, u.known) for u in updates):
+            self._upstreams_feed.wake()
+
+    def wake_all(self) -> None:
+        """Wakes all feeds: the reader or the era of the store has changed."""
+        for feed in self._feeds:
             feed.wake()
--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -1,8 +1,8 @@
 """``egretspur-host``: router and control of one host in one process.
 
-For installations where a platform's store keeps what must last, and memory is
-paid for by the process. Joins the slices; holds no decisions. Read next:
-`egretspur.delivery.intake` and `egretspur.routing.broker`.
+For installations where a platform's store keeps durable state, and memory is
+paid for by the process. Connects the components, which make the decisions. Read
+next: `egretspur.delivery.intake` and `egretspur.routing.broker`.
 """
 
 from __future__ import annotations
@@ -42,58 +42,59 @@
 from egretspur.platform import ingress, names, node, store, upstream
 from egretspur.routing import broker, choice, desk, fleet, probes
 
-# Requests at once; each keeps a thread, started when it is needed.
-THREADS: Final = 600
+# Limit on concurrent requests; each occupies a thread, started on demand.
+MAX_REQUESTS: Final = 600
 
-# Connections of callers, most of them idle; the rest of the descriptors is
-# for connections to upstreams.
-CONNECTIONS: Final = 2000
+# Limit on connections of callers, most of which are idle. The remaining file
+# descriptors are for connections to upstreams.
+MAX_CALLER_CONNECTIONS: Final = 2000
 
-# Seconds between two looks whether the settings file has changed.
-SETTINGS_PERIOD_S: Final = 1.0
+# Seconds between two checks of the settings file for changes.
+SETTINGS_CHECK_PERIOD_S: Final = 1.0
 
-# After a stop signal the balancer takes up to two seconds to notice; until
-# then new connections are served.
-UNREADY_S: Final = 2.6
+# After a stop signal new connections are served for this long: the load
+# balancer takes up to two seconds to notice that the host isn't ready.
+UNREADY_LINGER_S: Final = 2.6
 
-# A stop ends so long before the platform kills the process.
+# Time between the end of the drain and the end of the platform's grace period,
+# after which it kills the process.
 STOP_MARGIN_S: Final = 0.6
 
-# Kept connections are closed later than callers may reuse them, so that no
-# request crosses the close.
+# Idle connections are closed this much later than callers may reuse them, so
+# that no request arrives on a connection that is being closed.
 IDLE_SLACK_S: Final = 5.0
 
 
 class Host:
-    """One host's process."""
+    """The process of one host."""
 
     def __init__(
         self,
         cfg: node.HostSettings,
         handler: logs.BoundedHandler | None = None,
-        using: mechanisms.Mechanisms = mechanisms.ALL,
+        enabled: mechanisms.Mechanisms = mechanisms.ALL,
     ) -> None:
         """Makes a host.
 
         Args:
             cfg: Its settings.
-            handler: Where it logs, for the metrics.
-            using: What it decides by.
+            handler: Log handler, whose dropped lines the metrics show.
+            enabled: Optional mechanisms that are enabled.
         """
         self._cfg = cfg
-        self._using = using
+        self._mechanisms = enabled
         rng = random.Random()
         self._desk = desk.Desk(
             broker.Broker(
                 cfg.data_centre,
-                _make_budget(cfg),
+                _make_budget_options(cfg),
                 rng,
-                using,
+                enabled,
             )
         )
         self._engines = upstream.EngineClient()
         self._watch = watch.StreamWatch(
-            self._desk, self._engines, using.silence
+            self._desk, self._engines, enabled.silence
         )
         self._intake = intake.Intake(
             self._desk,
@@ -110,14 +111,14 @@
             exchange.Peers(
                 cfg.ip,
                 cfg.data_centre,
-                _list_hosts(cfg.seeds),
+                _strip_ports(cfg.seeds),
                 data_centres=cfg.data_centres,
             ),
             cfg.ip,
             cfg.exchange_port,
-            self._make_news,
-            self._widen_news,
-            self._take_news,
+            self._make_update,
+            self._aggregate,
+            self._handle_updates,
         )
         self._pages_client = transport.Transport(0.3, 1.0)
         group = store.Group(self._store, f"orders-{cfg.data_centre}", cfg.ip)
@@ -125,9 +126,9 @@
         self._saver = quarantined.Writer(
             functools.partial(store.write_quarantine, self._store), rng
         )
-        self._followed = follow.Followed(
+        self._feeds = follow.StoreFeeds(
             self._store,
-            follow.Neighbours(
+            follow.PeerAccess(
                 self._exchange, self._ask_host, self._members.list_hosts
             ),
             self._desk,
@@ -144,19 +145,19 @@
         self._duty = duty.Duty(group, self._exchange)
         self._keeper = ranges.RangeReconciler(self._duty, self._engines, self)
         self._versions = config.CurrentConfig()
-        # As it was last told to others.
+        # What this host has read, as last sent to others.
         self._known = reading.ReadState(0, 0, math.inf)
         self._was_reader = False
-        self._file = node.SettingsFile()
+        self._settings_file = node.SettingsFile()
         self._is_reload_due = False
         self._draining = threading.Event()
         self._stop = threading.Event()
         self._server = web.Server(
             self._make_app(),
             cfg.listen,
-            THREADS,
+            MAX_REQUESTS,
             starts_on_demand=True,
-            connections=CONNECTIONS,
+            connections=MAX_CALLER_CONNECTIONS,
         )
         self._ready_server = web.Server(
             self._make_ready_app(), cfg.listen_ready, 1
@@ -168,7 +169,7 @@
                 handler,
                 self._get_version,
                 self.is_ready,
-                self._followed.topics,
+                self._feeds.topics,
                 lambda: self._store.eras.newest,
             ),
             cfg.listen_control,
@@ -179,8 +180,8 @@
         )
 
     def start(self) -> None:
-        """Starts to serve; ready once configuration and list are there."""
-        self._followed.start()
+        """Starts serving; ready once configuration and list are read."""
+        self._feeds.start()
         self._saver.start()
         self._server.start()
         self._ready_server.start()
@@ -193,7 +194,7 @@
         self._keeper.start()
 
     def drain(self) -> None:
-        """Finishes what is in flight, within the platform's grace."""
+        """Completes requests in flight within the platform's grace period."""
         began_s = time.monotonic()
         end_s = began_s + self._cfg.grace_s - STOP_MARGIN_S
         self._draining.set()
@@ -201,8 +202,8 @@
         self._keeper.close()
         self._duty.close()
         self._server.drain()
-        # Until the balancer has noticed, new callers still come.
-        time.sleep(min(UNREADY_S, self._cfg.grace_s / 2))
+        # New requests arrive until the load balancer has noticed.
+        time.sleep(min(UNREADY_LINGER_S, self._cfg.grace_s / 2))
         self._intake.stop()
         self._server.close_idle()
         while self._intake.in_flight and time.monotonic() < end_s:
@@ -213,7 +214,7 @@
         self._stop.set()
         self._keeper.close()
         self._duty.close()
-        self._followed.close()
+        self._feeds.close()
         self._saver.close()
         self._exchange.close()
         self._watch.close()
@@ -225,11 +226,11 @@
         decisions.record(decisions.Stopped(self._intake.in_flight))
 
     def configure(self, cfg: config.Configuration) -> None:
-        """Puts a configuration in force, unless a newer one is."""
+        """Puts a configuration in force, unless a newer one already is."""
         if not self._versions.update(cfg):
             return
-        # Requests are made by the intake's version and sent by the broker's:
-        # the broker must know a service before a request names it.
+        # The intake makes requests by its configuration and the broker routes
+        # them by its own, so the broker must know a service first.
         self._desk.configure(cfg)
         self._intake.configure(cfg)
         self._server.set_limits(
@@ -237,19 +238,19 @@
             cfg.limits.body_bytes,
             cfg.limits.idle_s + IDLE_SLACK_S,
         )
-        names_held = {w.name for w in (cfg.keys or {}).values()}
+        workspace_names = {w.name for w in (cfg.keys or {}).values()}
         decisions.record(
             decisions.ConfigurationApplied(
-                cfg.version, len(cfg.routes), len(names_held)
+                cfg.version, len(cfg.routes), len(workspace_names)
             )
         )
 
     def is_ready(self) -> bool:
-        """Tells whether this host should be given new callers."""
+        """Returns whether the load balancer should send new requests here."""
         return (
             not self._draining.is_set()
             and self._versions.newest is not None
-            and self._followed.listed.has_list
+            and self._feeds.upstreams_sink.has_list
         )
 
     def _get_version(self) -> int:
@@ -259,7 +260,7 @@
     def _ask_host(
         self, host: str, topic: str, since: positions.Position | None
     ) -> bytes | None:
-        """Returns what another host has of a topic since a position."""
+        """Returns another host's changes of a topic since a position."""
         port = self._cfg.listen_control.rpartition(":")[2]
         res = self._pages_client.call(
             "GET", f"{host}:{port}", pages.make_snapshot_path(topic, since)
@@ -290,11 +291,11 @@
         return app
 
     def record_layers(self, upstream_id: str, layers: upstreams.Layers) -> None:
-        """Takes what an engine reports to hold after an order."""
+        """Passes on the layers that an engine reports after an order."""
         self._desk.tell(desk.LayersReported(upstream_id, layers))
 
     def get_snapshot(self) -> ranges.FleetSnapshot:
-        """Returns what the keeper of layers looks at."""
+        """Returns the state by which the keeper places layers."""
 
         def read(state: broker.Broker) -> ranges.FleetSnapshot:
             now_s = time.monotonic()
@@ -316,16 +317,18 @@
                     for e in live
                     if not view.memory.get_usage(e.id, now_s).count
                 ),
-                self._find_late(view, now_s),
+                self._find_slow_engines(view, now_s),
             )
 
         scene: ranges.FleetSnapshot = self._desk.query(read)
         return scene
 
-    def _find_late(self, view: fleet.Fleet, now_s: float) -> frozenset[str]:
-        """Returns the engines that are too slow for prompt answers."""
+    def _find_slow_engines(
+        self, view: fleet.Fleet, now_s: float
+    ) -> frozenset[str]:
+        """Returns the engines that are too slow for the routes' time limits."""
         cfg = self._versions.newest
-        if cfg is None or not self._using.replacing_slow:
+        if cfg is None or not self._mechanisms.replacing_slow:
             return frozenset()
         return frozenset(
             upstream_id
@@ -348,87 +351,91 @@
         is_alive = self._engines.is_alive(entry.address, service.health_path)
         return upstreams.PLAIN_REPORT if is_alive else None
 
-    def _make_news(self, peers: Mapping[str, str]) -> datagrams.PeerUpdate:
-        """Returns what this host tells the others of its data centre."""
-        self._note_role()
+    def _make_update(self, peers: Mapping[str, str]) -> datagrams.PeerUpdate:
+        """Returns this host's update for the others of its data centre."""
+        self._update_role()
         now_s = time.monotonic()
         age_s = now_s - self._store.answered_s
         view = news.StoreView(
             self._get_version(),
             age_s,
-            now_s - self._followed.listed.answered_s,
+            now_s - self._feeds.upstreams_sink.answered_s,
             self._exchange.is_store_away(age_s),
-            self._followed.get_era(),
+            self._feeds.get_era(),
         )
-        made: datagrams.PeerUpdate = self._desk.query(
-            lambda state: news.collect(state, self._cfg.ip, view, peers, now_s)
+        update: datagrams.PeerUpdate = self._desk.query(
+            lambda state: news.make_update(
+                state, self._cfg.ip, view, peers, now_s
+            )
         )
-        self._known = made.known
-        return made
+        self._known = update.known
+        return update
 
-    def _widen_news(self, own: datagrams.PeerUpdate) -> datagrams.PeerUpdate:
-        """Returns what this host tells other data centres for its own."""
-        widened: datagrams.PeerUpdate = self._desk.query(
-            lambda state: news.widen(state, own, time.monotonic())
+    def _aggregate(self, own: datagrams.PeerUpdate) -> datagrams.PeerUpdate:
+        """Returns the update of this data centre for other data centres."""
+        total: datagrams.PeerUpdate = self._desk.query(
+            lambda state: news.aggregate(state, own, time.monotonic())
         )
-        return widened
+        return total
 
-    def _note_role(self) -> None:
-        """Has the feeds read at their new pace if the reader changed."""
+    def _update_role(self) -> None:
+        """Wakes the feeds to read at their new pace if the role changed."""
         is_reader = self._exchange.is_reader()
         if is_reader != self._was_reader:
             self._was_reader = is_reader
-            self._followed.poke_all()
+            self._feeds.wake_all()
 
-    def _take_news(
-        self, heard: Sequence[datagrams.PeerUpdate], hosts: int
+    def _handle_updates(
+        self, updates: Sequence[datagrams.PeerUpdate], hosts: int
     ) -> None:
-        self._followed.poke(self._known, heard)
-        self._watch.record_peer_suspects({i for n in heard for i in n.suspects})
-        told = tuple(news.read(n) for n in heard)
+        self._feeds.wake_outdated(self._known, updates)
+        self._watch.record_peer_suspects(
+            {i for u in updates for i in u.suspects}
+        )
+        broker_updates = tuple(news.make_broker_update(u) for u in updates)
         seeds = len(self._cfg.seeds)
-        self._desk.tell(desk.PeerUpdates(told, max(hosts, seeds)))
+        self._desk.tell(desk.PeerUpdates(broker_updates, max(hosts, seeds)))
 
     def reload(self) -> None:
-        """Has the settings read again soon; safe in a signal handler."""
+        """Requests a reload of the settings; safe in a signal handler."""
         self._is_reload_due = True
 
     def _reload(self) -> None:
-        """Puts changed settings in force, as far as that needs no restart."""
+        """Applies changed settings, except those that need a restart."""
         try:
             cfg = node.load_settings()
         except node.SettingsError as exc:
-            # The former ones stay in force; nothing is lost.
+            # The previous settings stay in force.
             decisions.record(decisions.Reloaded(str(exc)))
             return
         self._cfg = cfg
-        self._exchange.set_seeds(_list_hosts(cfg.seeds))
+        self._exchange.set_seeds(_strip_ports(cfg.seeds))
         decisions.record(decisions.Reloaded(""))
 
     def _watch_settings(self) -> None:
-        while not self._stop.wait(SETTINGS_PERIOD_S):
+        while not self._stop.wait(SETTINGS_CHECK_PERIOD_S):
             with guard.log_exceptions("settings"):
-                if self._file.is_changed() or self._is_reload_due:
+                if self._settings_file.is_changed() or self._is_reload_due:
                     self._is_reload_due = False
                     self._reload()
 
 
-def _make_budget(cfg: node.HostSettings) -> repeats.Options:
-    """Returns the retry budgets, as seen by a host that has just started."""
+def _make_budget_options(cfg: node.HostSettings) -> repeats.Options:
+    """Returns the options of the retry budgets of a host that has started."""
     since_s = math.inf
     if cfg.is_first_start:
-        # Nothing can have been spent.
+        # No retry can have been spent before.
         since_s = -math.inf
-    elif not set(_list_hosts(cfg.seeds)) - {cfg.ip}:
-        # There is nobody else to be heard.
+    elif not set(_strip_ports(cfg.seeds)) - {cfg.ip}:
+        # No other host can send what was spent.
         since_s = time.monotonic()
     return repeats.Options(
         cfg.retry_ratio, cfg.retry_allowance, cfg.retry_window_s, since_s
     )
 
 
-def _list_hosts(addresses: Sequence[str]) -> list[str]:
-    """Returns the hosts of addresses."""
+def _strip_ports(addresses: Sequence[str]) -> list[str]:
+    """Returns the addresses without their ports."""
     return [a.rpartition(":")[0] for a in addresses]
 
 
--- a/egretspur/daemons/meters.py
+++ b/egretspur/daemons/meters.py
@@ -1,10 +1,10 @@
-"""Counters and histograms, fed by the decisions that are logged.
+"""Counters and histograms of the logged decisions.
 
-Whatever is worth a log line is worth counting, so both come from one place: a
-handler on the decisions' logger. The library that keeps the figures is loaded
-when someone asks for them or many wait: with what it needs, and with that of
-the state dump, it is a tenth of the processor time of a host's start, while
-callers wait, and 2.5 MB. Read next: `egretspur.decisions`.
+Every decision that is logged is also counted, by a handler on the decisions'
+logger. The metrics library is imported when metrics are first read or many
+samples are pending: at a host's start, while callers wait, its import and that
+of the state dump with their dependencies would take a tenth of the processor
+time, and 2.5 MB. Read next: `egretspur.decisions`.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 _INF: Final = float("inf")
 
-# Upper bounds of the buckets, in seconds: callers count 0.5 s to the first
-# event and 0.2 s between two as prompt.
+# Upper bounds of the histograms' buckets, in seconds. Callers expect the first
+# event within 0.5 s and later ones within 0.2 s of each other.
 _BUCKETS: Final[Mapping[str, tuple[float, ...]]] = {
     "first_event": (0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 5.0, _INF),
     "event_gap": (0.05, 0.1, 0.15, 0.2, 0.4, 1.0, 2.0, _INF),
@@ -33,7 +33,7 @@
     "store_call": (0.005, 0.01, 0.05, 0.2, 0.5, 1.0, 2.0, _INF),
 }
 
-_TEXTS: Final[Mapping[str, str]] = {
+_HELP_TEXTS: Final[Mapping[str, str]] = {
     "first_event": "From arrival to the first event or the answer",
     "event_gap": "Longest pause between two events of an answer",
     "queue_wait": "From arrival to a refusal",
@@ -41,8 +41,8 @@
     "store_call": "Calls to the store, waiting reads left out",
 }
 
-# Fields that hold the cause, by kind of line.
-_CAUSES: Final[Mapping[str, str]] = {
+# Field that holds the cause, by log event.
+_CAUSE_FIELDS: Final[Mapping[str, str]] = {
     "request_refused": "kind",
     "attempt_failed": "why",
     "request_answered": "status",
@@ -56,33 +56,32 @@
     "step_failed": "where",
 }
 
-# Histograms that a kind of line feeds, with the field.
-_TIMES: Final[Mapping[str, tuple[tuple[str, str], ...]]] = {
+# Histograms that a log event feeds, with the field of the observed value.
+_HISTOGRAM_FIELDS: Final[Mapping[str, tuple[tuple[str, str], ...]]] = {
     "request_answered": (("first_event", "first_s"), ("event_gap", "gap_s")),
     "request_refused": (("queue_wait", "waited_s"),),
     "order_done": (("order", "took_s"),),
 }
 
+# Pending samples that trigger the import of the library: some hundred
+# kilobytes, so that memory stays bounded if the metrics are never read.
+MAX_PENDING_SAMPLES: Final = 4096
 
-# Figures that wait for the library at most: some hundred kilobytes, so that a
-# host that nobody asks does not grow.
-MOST_WAITING: Final = 4096
-
-# Of the counter; the other figures are times, by their names.
+# Name of samples of the counter; other samples name their histogram.
 _DECISIONS: Final = "decisions"
 
 
 @attrs.frozen
-class _Figure:
-    """One observation."""
+class _Sample:
+    """One observation of a metric."""
 
     name: str
     labels: Mapping[str, str]
     value: float
 
 
-class _Collected:
-    """The figures in the library's terms."""
+class _LoadedMetrics:
+    """The metrics, as objects of the metrics library."""
 
     def __init__(self) -> None:
         from aioprometheus import collectors
@@ -96,30 +95,30 @@
         self._times = {
             name: collectors.Histogram(
                 f"egretspur_{name}_seconds",
-                _TEXTS[name],
+                _HELP_TEXTS[name],
                 registry=self.registry,
                 buckets=bounds,
             )
             for name, bounds in _BUCKETS.items()
         }
 
-    def take(self, figure: _Figure) -> None:
-        """Takes one observation."""
-        if figure.name == _DECISIONS:
-            self._counter.inc(dict(figure.labels))
+    def add(self, sample: _Sample) -> None:
+        """Adds a sample to its counter or histogram."""
+        if sample.name == _DECISIONS:
+            self._counter.inc(dict(sample.labels))
         else:
-            self._times[figure.name].observe({}, figure.value)
+            self._times[sample.name].observe({}, sample.value)
 
 
 class Meters(logging.Handler):
-    """Counts decisions by kind and cause, and their times by bucket."""
+    """Counts decisions by event and cause, and their times by bucket."""
 
     def __init__(self) -> None:
-        """Makes meters that have counted nothing."""
+        """Makes metrics without samples."""
         super().__init__()
-        self._guard = threading.Lock()
-        self._waiting: list[_Figure] = []
-        self._collected: _Collected | None = None
+        self._lock = threading.Lock()
+        self._pending: list[_Sample] = []
+        self._loaded: _LoadedMetrics | None = None
         self._is_loading = False
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -129,39 +128,39 @@
         if event is None:
             return
         labels = {"event": event, "cause": get_cause(fields)}
-        self._take(_Figure(_DECISIONS, labels, 1.0))
-        for name, field in _TIMES.get(event, ()):
-            self._take(_Figure(name, {}, float(fields[field])))
+        self._add(_Sample(_DECISIONS, labels, 1.0))
+        for name, field in _HISTOGRAM_FIELDS.get(event, ()):
+            self._add(_Sample(name, {}, float(fields[field])))
 
     def note_store_call(self, seconds: float) -> None:
-        """Takes the time of a call to the store."""
-        self._take(_Figure("store_call", {}, seconds))
+        """Records the duration of a call to the store."""
+        self._add(_Sample("store_call", {}, seconds))
 
     def collect(self) -> collectors.Registry:
-        """Returns all figures; loads the library if nothing has yet."""
-        # Not under the lock: whoever logs would wait for it.
-        loaded = self._collected or _Collected()
-        with self._guard:
-            if self._collected is None:
-                self._collected = loaded
-            for figure in self._waiting:
-                self._collected.take(figure)
-            self._waiting.clear()
-            return self._collected.registry
-
-    def _take(self, figure: _Figure) -> None:
-        with self._guard:
-            if self._collected is not None:
-                self._collected.take(figure)
+        """Returns all metrics; imports the metrics library if necessary."""
+        # Imported outside the lock, for which each log call waits.
+        loaded = self._loaded or _LoadedMetrics()
+        with self._lock:
+            if self._loaded is None:
+                self._loaded = loaded
+            for sample in self._pending:
+                self._loaded.add(sample)
+            self._pending.clear()
+            return self._loaded.registry
+
+    def _add(self, sample: _Sample) -> None:
+        with self._lock:
+            if self._loaded is not None:
+                self._loaded.add(sample)
                 return
-            self._waiting.append(figure)
-            if len(self._waiting) < MOST_WAITING or self._is_loading:
+            self._pending.append(sample)
+            if len(self._pending) < MAX_PENDING_SAMPLES or self._is_loading:
                 return
             self._is_loading = True
         threading.Thread(target=self.collect, name="meters").start()
 
 
 def get_cause(fields: Mapping[str, Any]) -> str:
-    """Returns the cause in a line's fields; empty if it has none."""
-    name = _CAUSES.get(fields[decisions.EVENT_KEY])
+    """Returns the cause in a log line's fields; empty if it has none."""
+    name = _CAUSE_FIELDS.get(fields[decisions.EVENT_KEY])
     return str(fields[name]) if name else ""
--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -1,7 +1,8 @@
-"""What a host tells the others of itself, and takes from what they tell: pure.
+"""Converts between the broker's state and peer updates: pure functions.
 
-Translates between the broker's state and the datagrams of the exchange. Read
-next: `egretspur.membership.exchange` and `egretspur.membership.datagrams`.
+Peer updates are what hosts send to each other in the datagrams of the exchange.
+Read next: `egretspur.membership.exchange` and
+`egretspur.membership.datagrams`.
 """
 
 from __future__ import annotations
@@ -16,63 +17,64 @@
 from egretspur.membership import datagrams
 from egretspur.routing import broker, fleet
 
-# Layers that an engine reported after an order are told to other hosts until
-# the list shows them, and no longer than this where it never does: a heartbeat,
-# a read of the list, and the time after which the store counts as away. While
-# it is away they are told until it is back.
-LAYERS_TOLD_S: Final = 6.0
+# Layers that an engine reported after an order are published to other hosts
+# until the list shows them, but no longer than this: a heartbeat, a read of the
+# list, and the time after which the store counts as away. While the store is
+# away they are published without limit.
+LAYERS_PUBLISHED_S: Final = 6.0
 
-# Age told of a list that was never read.
-NEVER_S: Final = 1e6
+# Age sent for a list that was never read.
+NEVER_READ_AGE_S: Final = 1e6
 
 
 @attrs.frozen
 class StoreView:
-    """What a host has of the store."""
+    """What a host has read from the store, and when."""
 
     # Version of the configuration in force; 0 for none.
     version: int
-    # Seconds since the store answered this host, and gave it the list.
+    # Seconds since the store last answered this host.
     age_s: float
+    # Seconds since the host last read the list of upstreams.
     list_age_s: float
-    # No host near by has the store.
+    # No host of this data centre gets answers from the store.
     is_away: bool
-    # Of the store as its list was read.
+    # Era of the store when the list was read.
     era: int
 
 
-def collect(
+def make_update(
     state: broker.Broker,
     ip: str,
-    view: StoreView,
+    store_view: StoreView,
     peers: Mapping[str, str],
     now_s: float,
 ) -> datagrams.PeerUpdate:
-    """Returns what a host tells the others of its data centre.
+    """Returns a host's update for the others of its data centre.
 
     Args:
-        state: What it knows of requests and upstreams.
-        ip: Its address.
-        view: What it has of the store.
-        peers: Hosts to name, with their data centres.
+        state: State of the host's broker.
+        ip: Address of the host.
+        store_view: What the host has read from the store.
+        peers: Other hosts to list, with their data centres.
         now_s: Monotonic time.
     """
     own = state.fleet
     return datagrams.PeerUpdate(
         host=ip,
         data_centre=own.data_centre,
-        store_age_s=max(0.0, view.age_s),
+        store_age_s=max(0.0, store_view.age_s),
         known=reading.ReadState(
-            view.version,
+            store_view.version,
             own.compute_digest(),
-            min(max(0.0, view.list_age_s), NEVER_S),
-            view.era,
+            min(max(0.0, store_view.list_age_s), NEVER_READ_AGE_S),
+            store_view.era,
         ),
         usage=dict(own.memory.own),
         pace=own.paces.list_slow(),
         dead=own.health.list_dead(now_s),
         layers=own.layer_changes.list_published(
-            math.inf if view.is_away else LAYERS_TOLD_S, now_s
+            math.inf if store_view.is_away else LAYERS_PUBLISHED_S, now_s
         ),
         peers=peers,
         excess=own.memory.list_excess(now_s),
@@ -86,12 +88,12 @@
     )
 
 
-def widen(
-    state: broker.Broker, news: datagrams.PeerUpdate, now_s: float
+def aggregate(
+    state: broker.Broker, own: datagrams.PeerUpdate, now_s: float
 ) -> datagrams.PeerUpdate:
-    """Returns a host's news with what its whole data centre has."""
+    """Returns a host's update with the totals of its data centre."""
     return attrs.evolve(
-        news,
+        own,
         usage=state.fleet.memory.sum_data_centre(now_s),
         suspects=state.fleet.list_suspects(now_s, True),
         spent=state.retry_budgets.sum_local(now_s),
@@ -99,19 +101,19 @@
     )
 
 
-def read(news: datagrams.PeerUpdate) -> fleet.PeerUpdate:
-    """Returns what the broker takes of another host's news."""
+def make_broker_update(update: datagrams.PeerUpdate) -> fleet.PeerUpdate:
+    """Returns the part of another host's update that the broker applies."""
     return fleet.PeerUpdate(
-        host=news.host,
-        data_centre=news.data_centre,
-        usage=news.usage,
-        pace=news.pace,
-        dead=news.dead,
-        layers=news.layers,
-        excess=news.excess,
-        suspects=news.suspects,
-        spent=news.spent,
-        ended=news.ended,
-        is_new=news.is_new,
-        limits=news.limits,
+        host=update.host,
+        data_centre=update.data_centre,
+        usage=update.usage,
+        pace=update.pace,
+        dead=update.dead,
+        layers=update.layers,
+        excess=update.excess,
+        suspects=update.suspects,
+        spent=update.spent,
+        ended=update.ended,
+        is_new=update.is_new,
+        limits=update.limits,
     )
--- a/egretspur/daemons/pages.py
+++ b/egretspur/daemons/pages.py
@@ -1,6 +1,6 @@
-"""Pages of a host for operators and for other hosts: metrics, state, snapshot.
+"""HTTP pages of a host for operators and other hosts: metrics, state, snapshot.
 
-Figures are read from the broker when a page is asked for, so that they cost
+Gauges are read from the broker when the metrics are requested, so they cost
 nothing otherwise.
 """
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from aioprometheus import collectors
 
-# Gauges by name, each prefixed with ``egretspur_``.
+# Help texts of gauges by name; ``egretspur_`` is put before each name.
 _GAUGES: Final = {
     "requests_arrived": "Requests that named a route",
     "requests_started": "Attempts given to an upstream",
@@ -53,30 +53,31 @@
 
 
 class Snapshots(Protocol):
-    """Topics whose state can be handed to another host."""
+    """A topic whose state can be sent to another host."""
 
     def export(self, since: positions.Position | None) -> bytes | None:
-        """Returns what a host misses that has read up to a position.
+        """Returns the changes for a host that has read up to a position.
 
-        None if there is nothing to hand over.
+        None if this host has nothing to send.
         """
 
 
 @attrs.frozen
-class Figures:
-    """What the pages show."""
+class GaugeValues:
+    """Values of the gauges that are read from the broker."""
 
+    # Values of gauges without labels, by name.
     plain: Mapping[str, float]
-    # By name and upstream.
+    # Values by name and upstream.
     by_upstream: Mapping[str, Mapping[str, float]]
 
 
 class _Gauges:
-    """Figures that are read when they are asked for."""
+    """The gauges in the registry of the metrics library."""
 
     def __init__(self, registry: collectors.Registry) -> None:
-        """Makes the gauges of a registry."""
-        # See `egretspur.daemons.meters` on why here.
+        """Adds the gauges to a registry."""
+        # `egretspur.daemons.meters` says why the import is delayed.
         from aioprometheus import collectors
 
         self._gauges = {
@@ -84,20 +85,22 @@
             for name, text in {**_GAUGES, **_BY_UPSTREAM, **_BY_DUTY}.items()
         }
 
-    def set(self, figures: Figures, own: Mapping[str, float]) -> None:
-        """Sets all of them, those of the process from `own`."""
-        for name, value in {**figures.plain, **own}.items():
+    def set(
+        self, broker_values: GaugeValues, process_values: Mapping[str, float]
+    ) -> None:
+        """Sets all gauges, from the values of the broker and the process."""
+        for name, value in {**broker_values.plain, **process_values}.items():
             self._gauges[name].set({}, value)
-        for name, values in figures.by_upstream.items():
+        for name, values in broker_values.by_upstream.items():
             for upstream, value in values.items():
                 self._gauges[name].set({"upstream": upstream}, value)
-        for duty, seconds in duties.read_seconds().items():
+        for duty, seconds in duties.read_cpu_seconds().items():
             self._gauges["processor_seconds"].set({"duty": duty}, seconds)
 
 
 def make_pages(
-    to: desk.Desk,
-    counted: meters.Meters,
+    broker_desk: desk.Desk,
+    host_meters: meters.Meters,
     handler: logs.BoundedHandler | None,
     get_version: Callable[[], int],
     is_ready: Callable[[], bool],
@@ -108,15 +111,15 @@
     gauges: list[_Gauges] = []
 
     def collect() -> collectors.Registry:
-        registry = counted.collect()
+        registry = host_meters.collect()
         if not gauges:
             gauges.append(_Gauges(registry))
-        own = {
+        process_values = {
             "configuration_version": get_version(),
             "store_era": get_era(),
             "log_lines_dropped": handler.dropped if handler else 0,
         }
-        gauges[0].set(to.query(read_figures), own)
+        gauges[0].set(broker_desk.query(read_gauges), process_values)
         return registry
 
     def get_snapshot(req: web.Request) -> web.Response:
@@ -127,13 +130,15 @@
         )
 
     app = web.App()
-    web.add_diagnostics(app, collect, lambda: to.query(dump_state), is_ready)
+    web.add_diagnostics(
+        app, collect, lambda: broker_desk.query(dump_state), is_ready
+    )
     app.add("GET", "/v1/snapshot/{topic}", get_snapshot)
     return app
 
 
 def make_snapshot_path(topic: str, since: positions.Position | None) -> str:
-    """Returns the path of the page that `make_pages` serves snapshots on."""
+    """Returns the path at which another host serves a topic's snapshot."""
     path = f"/v1/snapshot/{topic}"
     if since is None:
         return path
@@ -141,20 +146,20 @@
 
 
 def _read_position(req: web.Request) -> positions.Position | None:
-    """Returns up to where the asking host has read; None for nothing."""
+    """Returns the requesting host's position; None if it has read nothing."""
     offset = web.get_query_int(req, "since", -1)
     if offset < 0:
         return None
     return positions.Position(web.get_query_int(req, "era", 0), offset)
 
 
-def read_figures(state: broker.Broker) -> Figures:
-    """Returns the figures of a broker."""
+def read_gauges(state: broker.Broker) -> GaugeValues:
+    """Returns the gauges' values of a broker."""
     now_s = time.monotonic()
     fleet = state.fleet
     usages = {i: fleet.memory.get_usage(i, now_s) for i in fleet.roster.entries}
     counts = state.counts
-    return Figures(
+    return GaugeValues(
         {
             "requests_arrived": counts.arrived,
             "requests_started": counts.started,
@@ -183,7 +188,7 @@
 
 
 def dump_state(state: broker.Broker) -> dict[str, Any]:
-    """Returns a broker's state as plain values."""
+    """Returns a broker's state as values that JSON can represent."""
     now_s = time.monotonic()
     fleet = state.fleet
     return {
