--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -1,8 +1,8 @@
-"""Plays a day's load on the model of engines with the real decisions.
+"""Simulates a day's load on modelled engines with the router's own decisions.
 
-The broker of each data centre, the plan of layers, admission and the choice of
-paths are the product's own; the engines are those of `bench.passes`. A day is
-traffic by data centre, and troubles of a few kinds.
+Each data centre runs the product's broker, layer planning, admission and path
+search; the engines are modelled by `bench.passes`. A day consists of traffic
+by data centre and a list of faults.
 """
 
 from __future__ import annotations
@@ -31,20 +31,20 @@
     search,
 )
 
-# A pause or first event beyond these is late.
+# An answer is late if its first event or a gap between events takes longer.
 OBJECTIVE_S: Final = 0.5
 GAP_S: Final = 0.2
 
-# What a late answer earns of a prompt one.
+# Weight of a late answer; a prompt one counts 1.
 LATE: Final = 0.26
 
-# From a stage's death until its requests are moved.
+# From an engine's crash until its requests are rerouted.
 NOTICED_S: Final = 0.4
 
-# From a stage's death until its layers are planned anew.
+# From an engine's crash until its layers are planned again.
 DEAD_S: Final = 0.9
 
-# Callers turn away after so long without an event.
+# Callers give up after this time without an event.
 PATIENCE_S: Final = 2.0
 
 TICK_S: Final = 0.05
@@ -53,47 +53,48 @@
 
 @attrs.frozen
 class Policy:
-    """What a comparison varies."""
+    """The parameters that a comparison varies."""
 
     name: str
-    # Least room of a layout, in tokens, best first.
+    # Minimum key-value capacity per layer of a layout, in tokens, best first.
     rooms: tuple[float, ...] = ranges.KV_TOKENS_LEVELS
-    # Whether layers are spread evenly over all cards, the baseline.
+    # Whether layers are spread evenly over all engines, the baseline.
     is_even: bool = False
-    # Answers over a stage that died are moved; else they are resumed.
+    # Whether a crashed engine's requests are rerouted; else they are resumed.
     is_moving: bool = True
-    # The faster of two random paths is taken; else the cheapest of all.
+    # Whether the faster of two random paths is chosen, not the cheapest of all.
     is_random: bool = False
-    # Seconds after which callers that were refused are told to come back, each
-    # once; drawn between the two.
+    # Bounds of the delay after which a refused caller retries, once; each
+    # delay is drawn between the two.
     back_s: tuple[float, float] = refusals.RETRY_AFTER_S
-    # What the hosts decide by.
+    # Decision mechanisms that the hosts use.
     using: mechanisms.Mechanisms = mechanisms.ALL
 
 
 @attrs.frozen
 class Trouble:
-    """Something that happens to engines or traffic."""
+    """A fault of engines, or a burst of traffic."""
 
     # One of: crash, slow, burst, leave.
     kind: str
     at_s: float
     for_s: float = 5.0
-    # Data centre; empty for all, or any.
+    # Data centre; empty for all of them.
     place: str = ""
+    # Number of engines, drawn from those with requests.
     count: int = 1
-    # How much more traffic, or how much slower.
+    # Factor on the traffic of a burst, or the pace of a slow engine.
     factor: float = 1.0
-    # An engine that is in use is taken, as in a chain that serves.
+    # Whether the engine never restarts.
     is_gone: bool = False
 
 
 @attrs.frozen
 class Day:
-    """What is played."""
+    """Traffic and faults of one simulated day."""
 
     name: str
-    # Requests a second by data centre.
+    # Requests per second by data centre.
     rates: Mapping[str, float]
     troubles: tuple[Trouble, ...] = ()
     length_s: float = 34.0
@@ -102,7 +103,7 @@
 
 @attrs.define
 class Outcome:
-    """What a day came to."""
+    """Counts of requests by result, and of preemptions."""
 
     asked: int = 0
     prompt: int = 0
@@ -113,7 +114,7 @@
 
     @property
     def worth(self) -> float:
-        """Earned of what was owed, from 0 to 1."""
+        """Weighted share of requests that were answered, from 0 to 1."""
         return (self.prompt + LATE * self.late) / max(1, self.asked)
 
 
@@ -129,12 +130,12 @@
     last_s: float = 0.0
     gap_s: float = 0.0
     is_over: bool = False
-    # It was refused before.
+    # Whether it was refused before.
     is_back: bool = False
 
 
 class RandomSearch(search.Search):
-    """Takes the faster of two random paths: the baseline of the choice."""
+    """Chooses the faster of two random paths: the baseline of path search."""
 
     def __init__(self, state: fleet.Fleet, rng: random.Random) -> None:
         super().__init__(state, mechanisms.ALL, rng)
@@ -162,7 +163,7 @@
     def _draw(
         self, cards: Sequence[paths.Candidate], layers: int, tokens: float
     ) -> tuple[paths.Part, ...]:
-        """Returns a random path of engines with room, empty if it ends."""
+        """Returns a random path of engines with capacity, or an empty one."""
         parts: list[paths.Part] = []
         at = 0
         while at < layers:
@@ -182,7 +183,7 @@
 
 
 class Play:
-    """One day under one policy."""
+    """A simulation of one day under one policy."""
 
     def __init__(
         self,
@@ -191,13 +192,13 @@
         day: Day,
         policy: Policy,
     ) -> None:
-        """Makes a play.
+        """Sets up the engines and the brokers.
 
         Args:
             spec: Sizes and speeds of the engines.
             kinds: Engines by data centre and accelerator.
-            day: Traffic and troubles.
-            policy: What is compared.
+            day: Traffic and faults.
+            policy: Parameters under comparison.
         """
         self._spec = spec
         self._day = day
@@ -231,7 +232,7 @@
         self._outcome = Outcome()
 
     def run(self) -> Outcome:
-        """Plays the day."""
+        """Runs the simulation and returns its counts."""
         cfg = self._make_config()
         for place, state in self._brokers.items():
             state.configure(cfg)
@@ -248,7 +249,7 @@
             self._timeline.after(trouble.at_s, self._make_trouble(trouble))
         self._timeline.after(TICK_S, self._tick)
         self._timeline.after(NEWS_S, self._exchange)
-        # What was asked for within the day may still end after it.
+        # Requests that arrive within the day may end after it.
         self._timeline.run(self._day.length_s + 20.0)
         for req in list(self._requests.values()):
             self._close(req, "failed")
@@ -260,7 +261,7 @@
     # Layers.
 
     def _plan(self, place: str, load_factor: float = 1.0) -> None:
-        """Lets engines of a data centre hold what the plan says."""
+        """Plans a data centre's layers and starts the loads that it orders."""
         engines, elsewhere = [], []
         for engine in self._engines.engines.values():
             if self._is_known_dead(engine.id):
@@ -309,7 +310,7 @@
             finish()
 
     def _hold_evenly(self, place: str) -> None:
-        """Spreads the layers over all cards by their memory; the baseline."""
+        """Spreads the layers over all engines by memory; the baseline."""
         engines = [
             e for e in self._engines.engines.values() if e.data_centre == place
         ]
@@ -322,7 +323,7 @@
                 engine.held = (first, round(at))
 
     def _list_engines(self) -> None:
-        """Gives the brokers the engines' list as it is."""
+        """Puts the live engines into each broker's roster."""
         for state in self._brokers.values():
             for engine in self._engines.engines.values():
                 if engine.id in self._dead_since_s:
@@ -403,7 +404,7 @@
         self._act(req.place, state.arrive(req.job, self._timeline.now_s))
 
     def _come_back(self, req: _Request) -> None:
-        """Asks once more for what was refused; its time runs on."""
+        """Submits a refused request again, with its first arrival time."""
         job = self._make_job(f"{req.job.id}b", req.job.tokens)
         again = _Request(
             attrs.evolve(job, arrived_s=req.job.arrived_s),
@@ -485,7 +486,7 @@
         effects = state.finish(req.job.id, self._timeline.now_s)
         self._act(req.place, effects)
 
-    # The passing of time.
+    # Periodic work.
 
     def _tick(self) -> None:
         now_s = self._timeline.now_s
@@ -509,7 +510,7 @@
                     )
         self._timeline.after(NEWS_S, self._exchange)
 
-    # Troubles.
+    # Faults.
 
     def _make_trouble(self, trouble: Trouble) -> Callable[[], None]:
         def act() -> None:
@@ -549,7 +550,7 @@
             return
 
         def back() -> None:
-            # A restarted engine is empty.
+            # A restarted engine holds no layers.
             engine.is_dead = False
             engine.held = None
             engine.waiting.clear()
@@ -560,7 +561,7 @@
         self._timeline.after(max(trouble.for_s, DEAD_S + 0.1), back)
 
     def _move_off(self, engine: passes.Engine) -> None:
-        """Moves requests off a dead engine, as the watch does."""
+        """Reroutes the requests of a crashed engine, as the watch does."""
         now_s = self._timeline.now_s
         for state in self._brokers.values():
             upstreams.remove_entry(state.fleet.roster, engine.id, now_s)
