--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -2,9 +2,9 @@
 
 ``python -m bench.fleet`` prints the worth of each policy by load as JSON lines;
 ``--plot FILE`` draws it, ``--trials`` compares single decisions. ``--site FILE
---journal FOLDER`` plays the standard days of a deployment's file, as far as the
-model knows their troubles, beside the worth that the journal's newest score
-measured, and prints how well the model ranks them.
+--journal FOLDER`` simulates the standard days of a deployment's file, with
+those of their faults that the model supports, prints each day's worth beside
+that of the journal's newest score, and how well the model ranks the days.
 """
 
 from __future__ import annotations
@@ -21,40 +21,40 @@
 from egretspur.placement import ranges
 from tests import fleets
 
-# Traffic of a deployment of today's size, in requests a second.
+# Requests per second by data centre, for the size of `fleets.DATA_CENTRES`.
 RATES: Final = {"kl-hall": 9.3, "pg-hall": 11.2, "cj-hall": 11.4}
 
 LOADS: Final = (0.75, 1.0, 1.25, 1.5, 2.0, 2.5, 3.0)
 SEEDS: Final = (1, 2, 3)
 
 
-def make_room(tokens: int) -> fleetplay.Policy:
-    """Returns the policy that leaves so much room on a layer."""
+def make_kv_policy(tokens: int) -> fleetplay.Policy:
+    """Returns a policy with at least `tokens` of capacity on each layer."""
     rooms = (float(tokens), *[r for r in ranges.KV_TOKENS_LEVELS if r < tokens])
     return fleetplay.Policy(f"room {tokens // 1000}k", rooms)
 
 
 POLICIES: Final = (
     fleetplay.Policy("even split", is_even=True),
-    make_room(24_000),
-    make_room(36_000),
-    make_room(60_000),
+    make_kv_policy(24_000),
+    make_kv_policy(36_000),
+    make_kv_policy(60_000),
 )
 
-# The product's own decisions, and each of them by itself done otherwise.
+# The product's own decisions, then variants that change one of them each.
 TRIALS: Final = (
     fleetplay.Policy("as it is"),
-    fleetplay.Policy("resumed, never moved", is_moving=False),
+    fleetplay.Policy("resumed, never moved", is_rerouting=False),
     fleetplay.Policy("faster of two random paths", is_random=True),
-    fleetplay.Policy("back after 0.7 s", back_s=(0.7, 0.7)),
-    fleetplay.Policy("back after 0.7 to 4 s", back_s=(0.7, 4.0)),
+    fleetplay.Policy("back after 0.7 s", retry_after_s=(0.7, 0.7)),
+    fleetplay.Policy("back after 0.7 to 4 s", retry_after_s=(0.7, 4.0)),
 )
 
-# Two engines die for good and one for a while, as on a bad day.
-TROUBLES: Final = (
-    fleetplay.Trouble("crash", 6.0, 4.0, "kl-hall"),
-    fleetplay.Trouble("crash", 15.0, 0.0, "cj-hall", is_gone=True),
-    fleetplay.Trouble("crash", 24.0, 3.0),
+# Two engines restart after a crash and one never does.
+FAULTS: Final = (
+    fleetplay.Fault("crash", 6.0, 4.0, "kl-hall"),
+    fleetplay.Fault("crash", 15.0, 0.0, "cj-hall", is_permanent=True),
+    fleetplay.Fault("crash", 24.0, 3.0),
 )
 
 
@@ -68,10 +68,10 @@
         for load in loads:
             rates = {place: rate * load for place, rate in RATES.items()}
             outcomes = [
-                fleetplay.Play(
+                fleetplay.Simulation(
                     fleets.SPEC,
                     fleets.DATA_CENTRES,
-                    fleetplay.Day("load", rates, TROUBLES, seed=seed),
+                    fleetplay.Day("load", rates, FAULTS, seed=seed),
                     policy,
                 ).run()
                 for seed in SEEDS
@@ -124,13 +124,13 @@
     figure.savefig(path, metadata={"Date": None})
 
 
-# A deployment's days.
+# Standard days of a deployment.
 
 _KINDS: Final = {"srv_crash": "crash", "srv_slow": "slow", "scale_in": "leave"}
 
 
 def read_day(site: Mapping[str, Any], day: Mapping[str, Any]) -> fleetplay.Day:
-    """Returns a standard day, as far as the model knows its troubles."""
+    """Returns a standard day with the faults that the model supports."""
     thin = float(site.get("thin", 1.0))
     rates = {}
     for row in day.get("traffic", site["traffic"]):
@@ -143,9 +143,9 @@
         part = streams / sum(mix.values())
         rates[row["zone"]] = row["per_s"] * thin * part
     entries = [*day.get("faults", ()), *day.get("plan", ())]
-    troubles = [t for e in entries if (t := _read_trouble(site, e))]
+    faults = [t for e in entries if (t := _read_fault(site, e))]
     return fleetplay.Day(
-        day["name"], rates, tuple(troubles), day.get("length_s", 34.0)
+        day["name"], rates, tuple(faults), day.get("length_s", 34.0)
     )
 
 
@@ -156,9 +156,9 @@
     return found
 
 
-def _read_trouble(
+def _read_fault(
     site: Mapping[str, Any], entry: Mapping[str, Any]
-) -> fleetplay.Trouble | None:
+) -> fleetplay.Fault | None:
     engines = sum(
         s["count"]
         for service in site["services"]
@@ -166,14 +166,14 @@
         for s in service["servers"]
     )
     if entry["kind"] == "burst":
-        return fleetplay.Trouble(
+        return fleetplay.Fault(
             "burst", entry["at"], entry.get("for_s", 5), factor=entry["x"]
         )
     kind = _KINDS.get(entry["kind"])
     if kind is None:
         return None
     count = entry.get("count") or round(entry.get("share", 0.1) * engines)
-    return fleetplay.Trouble(
+    return fleetplay.Fault(
         kind,
         entry["at"],
         entry.get("for_s", 5.0),
@@ -184,18 +184,18 @@
     )
 
 
-def read_cards(site: Mapping[str, Any]) -> dict[str, dict[str, int]]:
-    """Returns a deployment's engines by data centre and accelerator."""
-    cards: dict[str, dict[str, int]] = {}
+def count_engines(site: Mapping[str, Any]) -> dict[str, dict[str, int]]:
+    """Counts a deployment's engines by data centre and accelerator."""
+    counts: dict[str, dict[str, int]] = {}
     for service in site["services"]:
         for row in service["servers"] if service.get("model") else ():
-            kinds = cards.setdefault(row["zone"], {})
+            kinds = counts.setdefault(row["zone"], {})
             kinds[row["kind"]] = kinds.get(row["kind"], 0) + row["count"]
-    return cards
+    return counts
 
 
 def read_measured(folder: pathlib.Path, site: str) -> dict[str, float]:
-    """Returns the worth by day of the journal's newest score of a site."""
+    """Returns the worth by day from the journal's newest score of a site."""
     for path in sorted(folder.glob("*.json"), reverse=True):
         entry = json.loads(path.read_text("utf-8"))
         if entry.get("cmd") == "score" and entry.get("site") == site:
@@ -204,16 +204,20 @@
 
 
 def compare_days(path: pathlib.Path, journal: pathlib.Path) -> None:
-    """Prints modelled and measured worth of a deployment's days."""
+    """Prints the modelled and the measured worth of a deployment's days."""
     site = tomllib.loads(path.read_text("utf-8"))
     measured = read_measured(journal, site["name"])
-    cards = read_cards(site)
+    counts = count_engines(site)
     pairs = []
     for entry in site["day"]:
         if entry["name"] not in measured:
             continue
         day = read_day(site, entry)
-        worth = fleetplay.Play(fleets.SPEC, cards, day, POLICIES[2]).run().worth
+        worth = (
+            fleetplay.Simulation(fleets.SPEC, counts, day, POLICIES[2])
+            .run()
+            .worth
+        )
         pairs.append((worth, measured[entry["name"]]))
         figures.emit(
             figures.Figure(
@@ -226,18 +230,20 @@
         )
     if len(pairs) > 1:
         figures.emit(
-            figures.Figure("rank correlation", compute_rank(pairs), "of 1")
+            figures.Figure(
+                "rank correlation", compute_rank_correlation(pairs), "of 1"
+            )
         )
-        # The model knows no cuts and no closing loss of all hosts, so what
-        # it is off by on average is left out.
+        # The model has no network cuts and no final loss of all hosts, so the
+        # mean offset is subtracted from the error.
         offset = sum(m - w for w, m in pairs) / len(pairs)
         error = sum(abs(m - w - offset) for w, m in pairs) / len(pairs)
         figures.emit(figures.Figure("mean error beside offset", error, ""))
         figures.emit(figures.Figure("offset", offset, ""))
 
 
-def compute_rank(pairs: Sequence[tuple[float, float]]) -> float:
-    """Returns Spearman's rank correlation of pairs, ties left as they come."""
+def compute_rank_correlation(pairs: Sequence[tuple[float, float]]) -> float:
+    """Returns Spearman's rank correlation; ties keep the order of the pairs."""
     count = len(pairs)
     ranks = []
     for side in (0, 1):
@@ -248,7 +254,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Entry point."""
+    """Runs the comparison that the arguments select."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--plot", type=pathlib.Path, help="SVG to draw")
     parser.add_argument("--site", type=pathlib.Path, help="deployment's file")
--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -36,19 +36,19 @@
 GAP_S: Final = 0.2
 
 # Weight of a late answer; a prompt one counts 1.
-LATE: Final = 0.26
+LATE_WEIGHT: Final = 0.26
 
 # From an engine's crash until its requests are rerouted.
-NOTICED_S: Final = 0.4
+CRASH_DETECTION_S: Final = 0.4
 
 # From an engine's crash until its layers are planned again.
-DEAD_S: Final = 0.9
+REPLAN_DELAY_S: Final = 0.9
 
 # Callers give up after this time without an event.
-PATIENCE_S: Final = 2.0
+CALLER_TIMEOUT_S: Final = 2.0
 
 TICK_S: Final = 0.05
-NEWS_S: Final = 0.25
+PEER_UPDATE_PERIOD_S: Final = 0.25
 
 
 @attrs.frozen
@@ -57,22 +57,22 @@
 
     name: str
     # Minimum key-value capacity per layer of a layout, in tokens, best first.
-    rooms: tuple[float, ...] = ranges.KV_TOKENS_LEVELS
+    kv_tokens_levels: tuple[float, ...] = ranges.KV_TOKENS_LEVELS
     # Whether layers are spread evenly over all engines, the baseline.
     is_even: bool = False
     # Whether a crashed engine's requests are rerouted; else they are resumed.
-    is_moving: bool = True
+    is_rerouting: bool = True
     # Whether the faster of two random paths is chosen, not the cheapest of all.
     is_random: bool = False
     # Bounds of the delay after which a refused caller retries, once; each
     # delay is drawn between the two.
-    back_s: tuple[float, float] = refusals.RETRY_AFTER_S
+    retry_after_s: tuple[float, float] = refusals.RETRY_AFTER_S
     # Decision mechanisms that the hosts use.
     using: mechanisms.Mechanisms = mechanisms.ALL
 
 
 @attrs.frozen
-class Trouble:
+class Fault:
     """A fault of engines, or a burst of traffic."""
 
     # One of: crash, slow, burst, leave.
@@ -80,13 +80,13 @@
     at_s: float
     for_s: float = 5.0
     # Data centre; empty for all of them.
-    place: str = ""
+    data_centre: str = ""
     # Number of engines, drawn from those with requests.
     count: int = 1
     # Factor on the traffic of a burst, or the pace of a slow engine.
     factor: float = 1.0
     # Whether the engine never restarts.
-    is_gone: bool = False
+    is_permanent: bool = False
 
 
 @attrs.frozen
@@ -96,7 +96,7 @@
     name: str
     # Requests per second by data centre.
     rates: Mapping[str, float]
-    troubles: tuple[Trouble, ...] = ()
+    faults: tuple[Fault, ...] = ()
     length_s: float = 34.0
     seed: int = 1
 
@@ -105,7 +105,7 @@
 class Outcome:
     """Counts of requests by result, and of preemptions."""
 
-    asked: int = 0
+    arrived: int = 0
     prompt: int = 0
     late: int = 0
     refused: int = 0
@@ -115,15 +115,15 @@
     @property
     def worth(self) -> float:
         """Weighted share of requests that were answered, from 0 to 1."""
-        return (self.prompt + LATE * self.late) / max(1, self.asked)
+        return (self.prompt + LATE_WEIGHT * self.late) / max(1, self.arrived)
 
 
 @attrs.define(eq=False)
 class _Request:
     job: jobs.Job
-    place: str
-    prompt: int
-    answer: int
+    data_centre: str
+    prompt_tokens: int
+    answer_tokens: int
     run: passes.Run | None = None
     written: int = 0
     first_s: float = 0.0
@@ -131,7 +131,7 @@
     gap_s: float = 0.0
     is_over: bool = False
     # Whether it was refused before.
-    is_back: bool = False
+    is_retry: bool = False
 
 
 class RandomSearch(search.Search):
@@ -182,7 +182,7 @@
         return tuple(parts)
 
 
-class Play:
+class Simulation:
     """A simulation of one day under one policy."""
 
     def __init__(
@@ -238,17 +238,17 @@
             state.configure(cfg)
             state.retry_budgets.hosts = 8
             if self._policy.is_even:
-                self._hold_evenly(place)
+                self._assign_evenly(place)
             else:
                 self._plan(place, load_factor=0.0)
                 self._plan(place, load_factor=0.0)
         self._list_engines()
         for place, rate in self._day.rates.items():
-            self._arrive_next(place, rate)
-        for trouble in self._day.troubles:
-            self._timeline.after(trouble.at_s, self._make_trouble(trouble))
+            self._schedule_arrival(place, rate)
+        for fault in self._day.faults:
+            self._timeline.after(fault.at_s, self._make_fault(fault))
         self._timeline.after(TICK_S, self._tick)
-        self._timeline.after(NEWS_S, self._exchange)
+        self._timeline.after(PEER_UPDATE_PERIOD_S, self._exchange)
         # Requests that arrive within the day may end after it.
         self._timeline.run(self._day.length_s + 20.0)
         for req in list(self._requests.values()):
@@ -281,7 +281,7 @@
             elif held:
                 elsewhere.append(held)
         orders = ranges.plan_orders(
-            engines, self._spec, elsewhere, self._policy.rooms
+            engines, self._spec, elsewhere, self._policy.kv_tokens_levels
         )
         for engine_id, layers in orders.items():
             self._load(engine_id, layers, load_factor)
@@ -309,7 +309,7 @@
         else:
             finish()
 
-    def _hold_evenly(self, place: str) -> None:
+    def _assign_evenly(self, place: str) -> None:
         """Spreads the layers over all engines by memory; the baseline."""
         engines = [
             e for e in self._engines.engines.values() if e.data_centre == place
@@ -345,24 +345,27 @@
 
     def _is_known_dead(self, engine_id: str) -> bool:
         since_s = self._dead_since_s.get(engine_id)
-        return since_s is not None and self._timeline.now_s - since_s > DEAD_S
+        return (
+            since_s is not None
+            and self._timeline.now_s - since_s > REPLAN_DELAY_S
+        )
 
     # Traffic.
 
-    def _arrive_next(self, place: str, rate: float) -> None:
+    def _schedule_arrival(self, place: str, rate: float) -> None:
         now_s = self._timeline.now_s
         factor = 1.0
-        for trouble in self._day.troubles:
-            lasts = trouble.at_s <= now_s < trouble.at_s + trouble.for_s
-            if trouble.kind == "burst" and lasts:
-                factor *= trouble.factor
+        for fault in self._day.faults:
+            is_active = fault.at_s <= now_s < fault.at_s + fault.for_s
+            if fault.kind == "burst" and is_active:
+                factor *= fault.factor
         pause_s = self._rng.expovariate(rate * factor)
         if now_s + pause_s > self._day.length_s:
             return
 
         def act() -> None:
             self._arrive(place)
-            self._arrive_next(place, rate)
+            self._schedule_arrival(place, rate)
 
         self._timeline.after(pause_s, act)
 
@@ -374,10 +377,10 @@
         tokens = room.estimate_tokens(
             prompt, 591, hint, self._spec.typical_answer_tokens
         )
-        self._outcome.asked += 1
-        self._ask(
+        self._outcome.arrived += 1
+        self._submit(
             _Request(
-                self._make_job(f"r{self._outcome.asked}", tokens),
+                self._make_job(f"r{self._outcome.arrived}", tokens),
                 place,
                 prompt,
                 answer,
@@ -398,25 +401,29 @@
             now_s + _ROUTE.timeout_s,
         )
 
-    def _ask(self, req: _Request) -> None:
+    def _submit(self, req: _Request) -> None:
         self._requests[req.job.id] = req
-        state = self._brokers[req.place]
-        self._act(req.place, state.arrive(req.job, self._timeline.now_s))
+        state = self._brokers[req.data_centre]
+        self._apply_effects(
+            req.data_centre, state.arrive(req.job, self._timeline.now_s)
+        )
 
-    def _come_back(self, req: _Request) -> None:
+    def _retry(self, req: _Request) -> None:
         """Submits a refused request again, with its first arrival time."""
         job = self._make_job(f"{req.job.id}b", req.job.tokens)
         again = _Request(
             attrs.evolve(job, arrived_s=req.job.arrived_s),
-            req.place,
-            req.prompt,
-            req.answer,
+            req.data_centre,
+            req.prompt_tokens,
+            req.answer_tokens,
             last_s=self._timeline.now_s,
-            is_back=True,
+            is_retry=True,
         )
-        self._ask(again)
+        self._submit(again)
 
-    def _act(self, place: str, effects: Sequence[jobs.Effect]) -> None:
+    def _apply_effects(
+        self, place: str, effects: Sequence[jobs.Effect]
+    ) -> None:
         for effect in effects:
             req = self._requests.get(effect.id)
             if req is None:
@@ -431,10 +438,10 @@
         run = passes.Run(
             req.job.id,
             start.parts,
-            req.prompt + req.written,
-            req.answer - req.written,
+            req.prompt_tokens + req.written,
+            req.answer_tokens - req.written,
         )
-        run.on_event = lambda: self._note_event(req)
+        run.on_event = lambda: self._record_event(req)
         run.on_end = lambda: self._close(req, "answered")
         req.run = run
         if not self._engines.start(run):
@@ -450,10 +457,12 @@
             self._engines.end(req.run)
             req.run = None
         failure = jobs.Failure(req.job.id, why, "model", (), req.written > 0)
-        state = self._brokers[req.place]
-        self._act(req.place, state.fail(failure, self._timeline.now_s))
+        state = self._brokers[req.data_centre]
+        self._apply_effects(
+            req.data_centre, state.fail(failure, self._timeline.now_s)
+        )
 
-    def _note_event(self, req: _Request) -> None:
+    def _record_event(self, req: _Request) -> None:
         now_s = self._timeline.now_s
         if not req.first_s:
             req.first_s = now_s
@@ -475,27 +484,27 @@
                 self._outcome.prompt += 1
             else:
                 self._outcome.late += 1
-        elif how == "refused" and not req.is_back:
-            after_s = self._rng.uniform(*self._policy.back_s)
-            self._timeline.after(after_s, lambda: self._come_back(req))
+        elif how == "refused" and not req.is_retry:
+            after_s = self._rng.uniform(*self._policy.retry_after_s)
+            self._timeline.after(after_s, lambda: self._retry(req))
         elif how == "refused":
             self._outcome.refused += 1
         else:
             self._outcome.failed += 1
-        state = self._brokers[req.place]
+        state = self._brokers[req.data_centre]
         effects = state.finish(req.job.id, self._timeline.now_s)
-        self._act(req.place, effects)
+        self._apply_effects(req.data_centre, effects)
 
     # Periodic work.
 
     def _tick(self) -> None:
         now_s = self._timeline.now_s
         for place, state in self._brokers.items():
-            self._act(place, state.tick(now_s))
+            self._apply_effects(place, state.tick(now_s))
             if not self._policy.is_even:
                 self._plan(place)
         for req in list(self._requests.values()):
-            if req.run is not None and now_s - req.last_s > PATIENCE_S:
+            if req.run is not None and now_s - req.last_s > CALLER_TIMEOUT_S:
                 self._close(req, "failed")
         self._timeline.after(TICK_S, self._tick)
 
@@ -508,48 +517,50 @@
                     state.fleet.memory.set_peer_usage(
                         other, memory.PeerUsage(now_s, own, other)
                     )
-        self._timeline.after(NEWS_S, self._exchange)
+        self._timeline.after(PEER_UPDATE_PERIOD_S, self._exchange)
 
     # Faults.
 
-    def _make_trouble(self, trouble: Trouble) -> Callable[[], None]:
+    def _make_fault(self, fault: Fault) -> Callable[[], None]:
         def act() -> None:
-            for engine in self._choose(trouble):
-                if trouble.kind == "slow":
-                    engine.pace = trouble.factor
+            for engine in self._choose(fault):
+                if fault.kind == "slow":
+                    engine.pace = fault.factor
                     self._timeline.after(
-                        trouble.for_s,
+                        fault.for_s,
                         functools.partial(self._set_pace, engine),
                     )
-                elif trouble.kind in ("crash", "leave"):
-                    self._crash(engine, trouble)
+                elif fault.kind in ("crash", "leave"):
+                    self._crash(engine, fault)
 
         return act
 
-    def _choose(self, trouble: Trouble) -> list[passes.Engine]:
-        if trouble.kind == "burst":
+    def _choose(self, fault: Fault) -> list[passes.Engine]:
+        if fault.kind == "burst":
             return []
         found = [
             e
             for e in self._engines.engines.values()
             if e.resident
             and not e.is_dead
-            and trouble.place in ("", e.data_centre)
+            and fault.data_centre in ("", e.data_centre)
         ]
-        return self._rng.sample(found, min(trouble.count, len(found)))
+        return self._rng.sample(found, min(fault.count, len(found)))
 
     def _set_pace(self, engine: passes.Engine) -> None:
         engine.pace = 1.0
 
-    def _crash(self, engine: passes.Engine, trouble: Trouble) -> None:
+    def _crash(self, engine: passes.Engine, fault: Fault) -> None:
         now_s = self._timeline.now_s
         engine.is_dead = True
         self._dead_since_s[engine.id] = now_s
-        self._timeline.after(NOTICED_S, lambda: self._move_off(engine))
-        if trouble.is_gone:
+        self._timeline.after(
+            CRASH_DETECTION_S, lambda: self._reroute_requests(engine)
+        )
+        if fault.is_permanent:
             return
 
-        def back() -> None:
+        def restart() -> None:
             # A restarted engine holds no layers.
             engine.is_dead = False
             engine.held = None
@@ -558,9 +569,9 @@
             del self._dead_since_s[engine.id]
             self._list_engines()
 
-        self._timeline.after(max(trouble.for_s, DEAD_S + 0.1), back)
+        self._timeline.after(max(fault.for_s, REPLAN_DELAY_S + 0.1), restart)
 
-    def _move_off(self, engine: passes.Engine) -> None:
+    def _reroute_requests(self, engine: passes.Engine) -> None:
         """Reroutes the requests of a crashed engine, as the watch does."""
         now_s = self._timeline.now_s
         for state in self._brokers.values():
@@ -569,9 +580,9 @@
             req = self._requests.get(run.id)
             if req is None or req.run is not run:
                 continue
-            state = self._brokers[req.place]
+            state = self._brokers[req.data_centre]
             parts = None
-            if self._policy.is_moving:
+            if self._policy.is_rerouting:
                 stalled = frozenset([engine.id])
                 parts = state.reroute(run.id, stalled, now_s).parts
             if parts is not None and self._can_run(parts):
--- a/tests/steps/fleetmodel_steps.py
+++ b/tests/steps/fleetmodel_steps.py
@@ -92,11 +92,13 @@
     """Plays a short day."""
     rates = {place: rate * load for place, rate in fleet.RATES.items()}
     troubles = tuple(
-        fleetplay.Trouble("crash", 3.0 + 3 * i, 2.0) for i in range(losses)
+        fleetplay.Fault("crash", 3.0 + 3 * i, 2.0) for i in range(losses)
     )
     day = fleetplay.Day("d", rates, troubles, length_s, seed)
     policy = fleetplay.Policy("own")
-    return fleetplay.Play(fleets.SPEC, fleets.DATA_CENTRES, day, policy).run()
+    return fleetplay.Simulation(
+        fleets.SPEC, fleets.DATA_CENTRES, day, policy
+    ).run()
 
 
 @when("a day is played twice with seed {first:d} and once with seed {other:d}")
@@ -126,4 +128,4 @@
     assert low <= context.outcome.worth <= high, context.outcome
     out = context.outcome
     ended = out.prompt + out.late + out.refused + out.failed
-    assert ended == out.asked, out
+    assert ended == out.arrived, out
