--- a/bench/duties.py
+++ b/bench/duties.py
@@ -1,9 +1,9 @@
-"""What each duty of an idle host costs, against the hosts and engines it knows.
+"""Measures the processor time of an idle host's duties by deployment size.
 
-``python -m bench.duties [--hosts N...] [--seconds S] [--reader]`` runs the
-host's own parts in this process, before a stand-in of the store and as many
-engines as hosts, and sends it the datagrams that its neighbours would. Prints
-JSON lines: parts of a core by duty and size. Read next:
+``python -m bench.duties [--hosts N...] [--seconds S] [--reader]`` runs a host
+in this process against a fake store that lists as many engines as hosts, and
+sends it the peer updates that the other hosts would send. Prints JSON lines:
+the share of a core by duty and number of hosts. Read next:
 `egretspur.daemons.duties`.
 """
 
@@ -31,30 +31,30 @@
 SIZES: Final = (8, 61, 195, 370)
 PLACES: Final = ("dc-a", "dc-b", "dc-c", "dc-d", "dc-e")
 
-# Engines that a host's own requests are at: half a dozen of five stages each.
+# Engines that serve a host's requests: six requests of five stages each.
 IN_FLIGHT: Final = 30
 
-# Accelerators of a data centre, by share.
+# Relative numbers of accelerators in a data centre.
 SHARES: Final = {"a100": 1, "l40s": 4, "l4": 6}
 
-# From the start until a host's idle costs are measured, in seconds.
+# From the host's readiness until the measurement begins.
 SETTLE_S: Final = 4.0
 
-# Name of the thread that speaks for the neighbours.
+# Thread that sends the peer updates; left out of the results.
 BENCH: Final = "bench"
 
-# Hosts whose addresses come before this one's read the store for it.
+# The hosts with the lowest addresses read the store for the others.
 IP: Final = "127.0.250.1"
 READER_IP: Final = "127.0.0.2"
 
 
 def measure(hosts: int, seconds: float, ip: str) -> dict[str, float]:
-    """Returns the parts of a core that each duty takes.
+    """Returns the share of a core that each duty takes.
 
     Args:
-        hosts: Of the deployment, in `PLACES`; as many engines.
-        seconds: How long it is measured.
-        ip: Address of the host that is measured.
+        hosts: Number of hosts in the deployment, and of engines.
+        seconds: Duration of the measurement.
+        ip: Address of the measured host.
     """
     scene = stage.Stage()
     try:
@@ -100,8 +100,9 @@
 
 
 def make_settings(store: str, ip: str) -> node.HostSettings:
-    """Returns the settings of the host that is measured."""
-    # Held until this returns; nothing else of the bench connects meanwhile.
+    """Returns the settings of the measured host."""
+    # The ports stay reserved until this returns; the bench opens no other
+    # connection before the host binds them.
     held = [sites.hold_port((ip,)) for _ in range(3)]
     ports = [port for port, _ in held]
     return node.HostSettings(
@@ -126,7 +127,7 @@
 
 
 def fill_store(scene: stage.Stage, engines: int) -> list[str]:
-    """Writes a configuration and engines that hold their layers."""
+    """Writes a configuration and engines with layers, returns their names."""
     cfg = sites.make_config(["key-1"], 2)
     cfg["services"][0]["inference_engine"] = {
         **platform_steps.ENGINE,
@@ -168,7 +169,7 @@
 
 
 def lay_out(place: str, count: int) -> dict[str, upstreams.Layers]:
-    """Returns what the engines of a data centre are to hold, by name."""
+    """Plans the layers of a data centre's engines, returned by engine name."""
     rng = random.Random(place)
     kinds = rng.choices(list(SHARES), list(SHARES.values()), k=count)
     names = [f"{kind}-{place}-{i}" for i, kind in enumerate(kinds)]
@@ -194,27 +195,27 @@
     engines: Sequence[str],
     stop: threading.Event,
 ) -> None:
-    """Sends what the neighbours of a host tell it, until told to stop."""
+    """Sends the host the peer updates of all other hosts until stopped."""
     near = -(-hosts // len(PLACES)) - 1
-    told = [make_news(i, PLACES[0], engines) for i in range(near)]
-    told += [
+    updates = [make_news(i, PLACES[0], engines) for i in range(near)]
+    updates += [
         make_news(near + i, place, engines)
         for i, place in enumerate(PLACES[1:])
     ]
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     with sock:
         while not stop.wait(exchange.SEND_PERIOD_S):
-            for news in told:
-                # Hosts don't send in one moment.
-                stop.wait(exchange.SEND_PERIOD_S / len(told) / 2)
-                data = datagrams.encode_update(news)
+            for update in updates:
+                # Spreads the updates out, as hosts do not send in step.
+                stop.wait(exchange.SEND_PERIOD_S / len(updates) / 2)
+                data = datagrams.encode_update(update)
                 sock.sendto(data, (cfg.ip, cfg.exchange_port))
 
 
 def make_news(
     number: int, place: str, engines: Sequence[str]
 ) -> datagrams.PeerUpdate:
-    """Returns what one neighbour tells."""
+    """Returns the peer update of one other host."""
     rng = random.Random(number)
     used = rng.sample(list(engines), min(IN_FLIGHT, len(engines)))
     return datagrams.PeerUpdate(
@@ -231,7 +232,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Prints the duties' costs."""
+    """Prints the share of a core by duty and number of hosts."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--hosts", type=int, nargs="+", default=SIZES)
     parser.add_argument("--seconds", type=float, default=10.0)
