--- a/bench/passes.py
+++ b/bench/passes.py
@@ -1,11 +1,12 @@
-"""Model of engines that hold ranges of layers: passes and request memory.
-
-Event-driven and seeded; seconds a run. An engine takes all waiting work into a
-pass; a pass runs a few token steps for every request that is writing and reads
-a bounded piece of waiting prompts. A request's tokens take memory on every
-layer of its path; when that runs out, the newest request is put back. What is
-left out: the network's bandwidth and the processor time of hosts.
-Read next: `bench.fleetplay`, which drives it with the real decisions.
+"""Model of engines that hold ranges of layers: passes and key-value memory.
+
+A deterministic discrete-event simulation that takes seconds to run. An engine
+takes all waiting work into a pass; a pass runs a few token steps for every
+request in decode and prefills a bounded chunk of waiting prompts. A request's
+tokens take memory on every layer of its path; when that runs out, the newest
+request is preempted. The model leaves out the network's bandwidth and the
+processor time of hosts. Read next: `bench.fleetplay`, which drives it with the
+router's own decisions.
 """
 
 from __future__ import annotations
@@ -21,19 +22,18 @@
 from egretspur.catalog import config
 from egretspur.routing import paths
 
-# Seconds on the way from one stage to the next, within a data centre.
+# Latency from one stage to the next within a data centre.
 HOP_S: Final = 0.0004
 
-# Prompt tokens read with each token step of a pass.
+# Prompt tokens prefilled with each token step of a pass.
 CHUNK: Final = 512
 
-
-# Seconds until a run that was put back begins anew.
+# From the preemption of a run until it restarts.
 RESTART_S: Final = 0.05
 
 
 class Timeline:
-    """Events in order of time."""
+    """Simulated clock with a queue of timed callbacks."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
@@ -41,12 +41,12 @@
         self.now_s = 0.0
 
     def after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Has something done later."""
+        """Schedules a callback after a delay."""
         entry = (self.now_s + seconds, next(self._numbers), act)
         heapq.heappush(self._heap, entry)
 
     def run(self, until_s: float) -> None:
-        """Does everything that is due until a time."""
+        """Runs the callbacks that are due and advances the clock."""
         while self._heap and self._heap[0][0] <= until_s:
             self.now_s, _, act = heapq.heappop(self._heap)
             act()
@@ -55,18 +55,18 @@
 
 @attrs.define(eq=False)
 class Run:
-    """One attempt of a request at the engines."""
+    """One attempt of a request on a path of engines."""
 
     id: str
     parts: tuple[paths.Part, ...]
     prompt: int
-    # Tokens to write, and written so far.
+    # Tokens to generate, and generated so far.
     answer: int
     written: int = 0
-    # Tokens still to be read at the stage it is at.
+    # Tokens left to prefill at the current stage.
     unread: int = 0
     stage: int = 0
-    # Over, or gone on with elsewhere.
+    # Whether it ended or was replaced by another attempt.
     is_over: bool = False
     started_s: float = 0.0
     on_event: Callable[[], None] = attrs.field(default=lambda: None)
@@ -80,7 +80,7 @@
 
 @attrs.define(eq=False)
 class Engine:
-    """One engine."""
+    """State of one engine."""
 
     id: str
     data_centre: str
@@ -90,14 +90,14 @@
     is_dead: bool = False
     is_busy: bool = False
     waiting: list[Run] = attrs.Factory(list)
-    # Runs whose path it is on, with the layers they use.
+    # Runs whose path includes this engine, with the layers they use here.
     resident: dict[Run, int] = attrs.Factory(dict)
-    # Requests put back for want of memory.
+    # Number of preemptions for lack of memory.
     preempted: int = 0
 
 
 class Engines:
-    """All engines and the runs over them."""
+    """All engines and the runs on them."""
 
     def __init__(self, spec: config.EngineSpec, timeline: Timeline) -> None:
         self.spec = spec
@@ -109,7 +109,7 @@
         self.engines[engine.id] = engine
 
     def start(self, run: Run) -> bool:
-        """Begins a run; False if a stage lacks its layers or is dead."""
+        """Starts a run; False if a stage lacks its layers or has crashed."""
         for part in run.parts:
             engine = self.engines[part.id]
             if engine.is_dead or engine.held is None:
@@ -125,7 +125,7 @@
         return True
 
     def move(self, run: Run, parts: tuple[paths.Part, ...]) -> None:
-        """Has a run go on over other stages, which read its tokens first."""
+        """Reroutes a run to other stages, which prefill its tokens first."""
         self._leave(run)
         run.parts = parts
         run.stage = 0
@@ -135,16 +135,16 @@
         self._arrive(run)
 
     def end(self, run: Run) -> None:
-        """Ends a run, whole or not."""
+        """Ends a run, complete or not."""
         run.is_over = True
         self._leave(run)
 
     def compute_used(self, engine: Engine) -> float:
-        """Returns the request memory in use, in tokens times layers."""
+        """Returns the key-value memory in use, in tokens times layers."""
         return sum(r.tokens * n for r, n in engine.resident.items())
 
     def compute_size(self, engine: Engine) -> float:
-        """Returns an engine's request memory, in tokens times layers."""
+        """Returns an engine's key-value memory, in tokens times layers."""
         if engine.held is None:
             return 0.0
         layers = engine.held[1] - engine.held[0]
@@ -199,10 +199,10 @@
         self._begin_pass(engine)
 
     def _pass_on(self, run: Run) -> None:
-        """Hands a run to its next stage, or takes the tokens it has written."""
+        """Sends a run to its next stage, or records the tokens it wrote."""
         run.stage += 1
         if run.stage < len(run.parts):
-            # A prompt is read at each stage; a token step runs at each.
+            # Each stage prefills the prompt before its first token step.
             run.unread = run.tokens if run.written == 0 else 0
             self.timeline.after(HOP_S, lambda: self._arrive(run))
             return
@@ -216,7 +216,7 @@
         self.timeline.after(HOP_S, lambda: self._arrive(run))
 
     def _make_room(self, engine: Engine) -> None:
-        """Puts the newest runs back while memory is short."""
+        """Preempts the newest runs while memory is short."""
         size = self.compute_size(engine)
         while engine.resident and self.compute_used(engine) > size:
             newest = max(engine.resident, key=lambda r: r.started_s)
@@ -241,7 +241,8 @@
         """Returns the seconds of one token step of a pass."""
         spec = self.spec
         total = 0.0
-        # Layers used differ by run; the base is paid for the widest.
+        # Runs use different numbers of layers; the fixed cost of a step is
+        # that of the largest.
         widest = max(engine.resident.get(r, 0) for r in writers)
         total += spec.step_s * widest / spec.layers
         for run in writers:
@@ -251,7 +252,7 @@
         return total * engine.accelerator.pace * engine.pace
 
     def _compute_read_s(self, engine: Engine, run: Run, read: int) -> float:
-        """Returns the seconds of reading a piece of a prompt."""
+        """Returns the seconds of prefilling a chunk of a prompt."""
         layers = engine.resident.get(run, 0)
         seconds = read / self.spec.prefill_tokens_per_s
         factor = engine.accelerator.prefill_factor * engine.pace
