--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,8 +1,8 @@
-"""Routing policies compared on one small queueing model, seeded.
+"""Compares routing policies on a small, seeded queueing model.
 
-Engines share their speed among the requests they work on; a chain runs at the
-speed of its slowest stage. Load reports are half a second old, and four
-routers choose without knowing of each other. It drives the real choice.
+Engines share their speed among their requests; a chain runs at the speed of
+its slowest stage. Load reports come every half second, and four routers choose
+independently. One of the policies is the router's own `graph.choose_path`.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @attrs.define
 class Job:
-    """A request in service: tokens left."""
+    """A request in service."""
 
     path: tuple[graph.Edge, ...]
     router: int
@@ -39,17 +39,17 @@
 
 @attrs.frozen
 class Outcome:
-    """What a policy achieved."""
+    """Latency and throughput of a policy."""
 
     # Mean and 95th percentile of seconds per request.
     mean_s: float
     p95_s: float
-    # Tokens done as a share of what arrived.
+    # Completed requests as a share of those that arrived.
     done: float
 
 
 class Model:
-    """Chains of two unlike stages, and four routers."""
+    """Chains of two stages of unequal speed, and four routers."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -72,7 +72,7 @@
                 for c in range(CHAINS)
             ),
         )
-        # Speeds eightfold apart, from chain to chain and within chains.
+        # Speeds differ up to eightfold between and within chains.
         self.speeds = {
             s.upstream: 1600.0 * self.rng.choice((1, 2, 4, 8))
             for c in self.deployment.chains
@@ -95,7 +95,7 @@
         )
 
     def get_bound(self) -> float:
-        """Returns tokens per second that both layers of stages can do."""
+        """Returns the throughput of the slower half of layers, in tokens/s."""
         first = sum(e.tokens_per_s for e in self.graph.get_edges(0))
         last = sum(e.tokens_per_s for e in self.graph.get_edges(16))
         return min(first, last)
@@ -110,18 +110,18 @@
 
 
 def choose_random(model: Model, router: int, now_s: float) -> Path:
-    """Any chain, equally."""
+    """Chooses a chain uniformly at random."""
     return model.make_chain(model.rng.randrange(CHAINS))
 
 
 def choose_in_turn(model: Model, router: int, now_s: float) -> Path:
-    """Round robin over the chains."""
+    """Chooses the chains round robin."""
     model.turn[router] = (model.turn[router] + 1) % CHAINS
     return model.make_chain(model.turn[router])
 
 
 def choose_shorter(model: Model, router: int, now_s: float) -> Path:
-    """The chain with fewer requests of two, speeds unseen."""
+    """Chooses the less loaded of two random chains, ignoring speed."""
     pair = [model.make_chain(model.rng.randrange(CHAINS)) for _ in range(2)]
     known = model.known[router]
     return min(
@@ -130,7 +130,7 @@
 
 
 def choose_joined(model: Model, router: int, now_s: float) -> Path:
-    """At each boundary the stage with fewer requests of two, speeds unseen."""
+    """Chooses the less loaded of two stages per boundary, ignoring speed."""
     known = model.known[router]
     path = []
     for boundary in (0, 16):
@@ -142,7 +142,7 @@
 
 
 def choose_ours(model: Model, router: int, now_s: float) -> Path:
-    """The product's choice: sampled by speed, cheapest expected time."""
+    """Chooses as the router: sampled by speed, least expected time."""
     known = graph.NetworkState(model.known[router], {}, now_s)
     path = graph.choose_path(model.graph, known, model.rng)
     assert path is not None
@@ -161,7 +161,7 @@
 
 
 def run(choose: Choose, load: float = LOAD, seed: int = 7) -> Outcome:
-    """Runs one policy; the same arrivals for each."""
+    """Runs one policy; arrivals depend on load and seed only."""
     model = Model(seed)
     arrivals = random.Random(seed + 1)
     rate = load * model.get_bound() / TOKENS
