--- a/bench/choice.py
+++ b/bench/choice.py
@@ -1,4 +1,4 @@
-"""Cost of one route choice, against replicas and stages."""
+"""Measures the cost of a route choice by replicas and stages."""
 
 from __future__ import annotations
 
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures as JSON lines: what was measured, beside its baseline."""
+"""Prints measured values and their baselines as JSON lines."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     figure: str
     value: float
     unit: str
-    # What it is compared with in the same run; empty if with nothing.
+    # Name of the value of the same run to compare with; empty if none.
     baseline: str = ""
     baseline_value: float = 0.0
 
@@ -33,7 +33,7 @@
 
 
 def read_cpu_s(pid: int) -> float:
-    """Returns the processor seconds a process has used."""
+    """Returns the processor seconds that a process has used."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="ascii")
     fields = text.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
@@ -48,5 +48,5 @@
 
 
 def say(text: str) -> None:
-    """Tells what is being measured, on standard error."""
+    """Prints a progress message to standard error."""
     print(text, file=sys.stderr, flush=True)
--- a/bench/fits.py
+++ b/bench/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with what they leave over."""
+"""Least-squares lines through measured points, with their residuals."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Fit:
-    """value = intercept + slope * size, by least squares."""
+    """A line: value = intercept + slope * size."""
 
     slope: float
     intercept: float
@@ -25,15 +25,15 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Fit:
-    """Returns the line through points of size and value."""
+    """Returns the least-squares line through points of size and value."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
     spread = sum((x - mean_x) ** 2 for x, _ in points)
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
     intercept = mean_y - slope * mean_x
-    left = [y - (intercept + slope * x) for x, y in points]
+    residuals = [y - (intercept + slope * x) for x, y in points]
     total = sum((y - mean_y) ** 2 for _, y in points)
-    r2 = 1.0 - sum(e * e for e in left) / total if total else 1.0
+    r2 = 1.0 - sum(e * e for e in residuals) / total if total else 1.0
     largest = max(abs(y) for _, y in points) or 1.0
-    return Fit(slope, intercept, r2, max(abs(e) for e in left) / largest)
+    return Fit(slope, intercept, r2, max(abs(e) for e in residuals) / largest)
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Small open-loop load tool: arrivals that don't wait for answers."""
+"""Open-loop load generator: arrivals do not wait for answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from egretspur import transport
 from tests import scene
 
-# Microseconds: from 10 us to 60 s with two digits.
+# Range and precision of histograms: 10 us to 60 s with two digits.
 LOWEST: Final = 10
 HIGHEST: Final = 60_000_000
 DIGITS: Final = 2
@@ -28,9 +28,9 @@
 
 @attrs.frozen
 class Shape:
-    """What arrives."""
+    """Rate, duration and mix of the requests."""
 
-    # Requests per second, all workspaces together.
+    # Requests per second of all workspaces together.
     rate: float
     seconds: float
     # Workspace names with their share of the arrivals.
@@ -40,10 +40,10 @@
 
 @attrs.define
 class Sample:
-    """One request's fate."""
+    """Status and times of one request."""
 
     workspace: str
-    # Seconds since the load's start at which it was sent.
+    # Scheduled send time in seconds since the start of the load.
     sent_s: float
     status: int = 0
     tokens: int = 0
@@ -54,7 +54,7 @@
 
 @attrs.define
 class Result:
-    """All samples of a run."""
+    """Samples of a run, with histograms of their times."""
 
     seconds: float
     samples: list[Sample] = attrs.Factory(list)
@@ -74,7 +74,7 @@
         return value
 
     def count_tokens(self, start_s: float, end_s: float) -> int:
-        """Returns tokens of whole answers that ended in a window."""
+        """Counts the tokens of complete answers that ended in a window."""
         return sum(
             s.tokens
             for s in self.samples
@@ -82,12 +82,12 @@
         )
 
     def count_refused(self) -> int:
-        """Returns how many were refused."""
+        """Counts the requests with an error status, 400 or higher."""
         return sum(1 for s in self.samples if s.status >= 400)
 
 
 def run_load(addresses: Sequence[str], shape: Shape, seed: int = 1) -> Result:
-    """Sends the load; returns when every answer has come."""
+    """Sends the load and waits up to 60 s for each answer."""
     rng = random.Random(seed)
     result = Result(shape.seconds)
     conns = transport.Transport(2.0, 30.0)
