--- a/bench/duties.py
+++ b/bench/duties.py
@@ -28,23 +28,23 @@
 from tests import fleets, listing, sites, stage
 from tests.steps import platform_steps
 
-SIZES: Final = (8, 61, 195, 370)
-PLACES: Final = ("dc-a", "dc-b", "dc-c", "dc-d", "dc-e")
+HOST_COUNTS: Final = (8, 61, 195, 370)
+DATA_CENTRES: Final = ("dc-a", "dc-b", "dc-c", "dc-d", "dc-e")
 
 # Engines that serve a host's requests: six requests of five stages each.
 IN_FLIGHT: Final = 30
 
 # Relative numbers of accelerators in a data centre.
-SHARES: Final = {"a100": 1, "l40s": 4, "l4": 6}
+ACCELERATOR_WEIGHTS: Final = {"a100": 1, "l40s": 4, "l4": 6}
 
 # From the host's readiness until the measurement begins.
 SETTLE_S: Final = 4.0
 
 # Thread that sends the peer updates; left out of the results.
-BENCH: Final = "bench"
+SENDER_THREAD: Final = "bench"
 
 # The hosts with the lowest addresses read the store for the others.
-IP: Final = "127.0.250.1"
+HOST_IP: Final = "127.0.250.1"
 READER_IP: Final = "127.0.0.2"
 
 
@@ -77,7 +77,9 @@
     subject.start()
     stop = threading.Event()
     neighbours = threading.Thread(
-        target=tell, args=(cfg, hosts, engines, stop), name=BENCH
+        target=send_peer_updates,
+        args=(cfg, hosts, engines, stop),
+        name=SENDER_THREAD,
     )
     neighbours.start()
     try:
@@ -94,7 +96,7 @@
     return {
         duty: (after[duty] - before.get(duty, 0.0)) / took_s
         for duty in sorted(after)
-        if duty not in (BENCH, "main", duties.ENDED)
+        if duty not in (SENDER_THREAD, "main", duties.ENDED)
         and not duty.startswith("Thread")
     }
 
@@ -103,13 +105,13 @@
     """Returns the settings of the measured host."""
     # The ports stay reserved until this returns; the bench opens no other
     # connection before the host binds them.
-    held = [sites.hold_port((ip,)) for _ in range(3)]
-    ports = [port for port, _ in held]
+    reserved = [sites.hold_port((ip,)) for _ in range(3)]
+    ports = [port for port, _ in reserved]
     return node.HostSettings(
         name="host",
         ip=ip,
-        data_centre=PLACES[0],
-        data_centres=PLACES,
+        data_centre=DATA_CENTRES[0],
+        data_centres=DATA_CENTRES,
         listen=f"{ip}:{ports[0]}",
         listen_ready=f"{ip}:{ports[1]}",
         listen_control=f"{ip}:{ports[2]}",
@@ -145,9 +147,9 @@
     site = sites.Site(stage=scene)
     site.write("keyed.op", "config", cfg)
     names = []
-    for place in PLACES:
-        count = -(-engines // len(PLACES))
-        for name, layers in lay_out(place, count).items():
+    for place in DATA_CENTRES:
+        count = -(-engines // len(DATA_CENTRES))
+        for name, layers in plan_layers(place, count).items():
             names.append(name)
             number = len(names)
             site.write(
@@ -168,10 +170,12 @@
     return names
 
 
-def lay_out(place: str, count: int) -> dict[str, upstreams.Layers]:
+def plan_layers(place: str, count: int) -> dict[str, upstreams.Layers]:
     """Plans the layers of a data centre's engines, returned by engine name."""
     rng = random.Random(place)
-    kinds = rng.choices(list(SHARES), list(SHARES.values()), k=count)
+    kinds = rng.choices(
+        list(ACCELERATOR_WEIGHTS), list(ACCELERATOR_WEIGHTS.values()), k=count
+    )
     names = [f"{kind}-{place}-{i}" for i, kind in enumerate(kinds)]
     held: dict[str, upstreams.Layers] = {}
     while True:
@@ -189,18 +193,20 @@
         held.update(orders)
 
 
-def tell(
+def send_peer_updates(
     cfg: node.HostSettings,
     hosts: int,
     engines: Sequence[str],
     stop: threading.Event,
 ) -> None:
     """Sends the host the peer updates of all other hosts until stopped."""
-    near = -(-hosts // len(PLACES)) - 1
-    updates = [make_news(i, PLACES[0], engines) for i in range(near)]
+    near = -(-hosts // len(DATA_CENTRES)) - 1
+    updates = [
+        make_peer_update(i, DATA_CENTRES[0], engines) for i in range(near)
+    ]
     updates += [
-        make_news(near + i, place, engines)
-        for i, place in enumerate(PLACES[1:])
+        make_peer_update(near + i, place, engines)
+        for i, place in enumerate(DATA_CENTRES[1:])
     ]
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     with sock:
@@ -212,7 +218,7 @@
                 sock.sendto(data, (cfg.ip, cfg.exchange_port))
 
 
-def make_news(
+def make_peer_update(
     number: int, place: str, engines: Sequence[str]
 ) -> datagrams.PeerUpdate:
     """Returns the peer update of one other host."""
@@ -234,11 +240,11 @@
 def main(argv: Sequence[str] | None = None) -> int:
     """Prints the share of a core by duty and number of hosts."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--hosts", type=int, nargs="+", default=SIZES)
+    parser.add_argument("--hosts", type=int, nargs="+", default=HOST_COUNTS)
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--reader", action="store_true")
     args = parser.parse_args(argv)
-    ip = READER_IP if args.reader else IP
+    ip = READER_IP if args.reader else HOST_IP
     found = {n: measure(n, args.seconds, ip) for n in args.hosts}
     for hosts, costs in found.items():
         for duty, part in {**costs, "all": sum(costs.values())}.items():
