--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -246,9 +246,9 @@
         for place, rate in self._day.rates.items():
             self._schedule_arrival(place, rate)
         for fault in self._day.faults:
-            self._timeline.after(fault.at_s, self._make_fault(fault))
-        self._timeline.after(TICK_S, self._tick)
-        self._timeline.after(PEER_UPDATE_PERIOD_S, self._exchange)
+            self._timeline.schedule(fault.at_s, self._make_fault(fault))
+        self._timeline.schedule(TICK_S, self._tick)
+        self._timeline.schedule(PEER_UPDATE_PERIOD_S, self._exchange)
         # Requests that arrive within the day may end after it.
         self._timeline.run(self._day.length_s + 20.0)
         for req in list(self._requests.values()):
@@ -305,7 +305,7 @@
             self._list_engines()
 
         if load_s:
-            self._timeline.after(load_s, finish)
+            self._timeline.schedule(load_s, finish)
         else:
             finish()
 
@@ -367,7 +367,7 @@
             self._arrive(place)
             self._schedule_arrival(place, rate)
 
-        self._timeline.after(pause_s, act)
+        self._timeline.schedule(pause_s, act)
 
     def _arrive(self, place: str) -> None:
         now_s = self._timeline.now_s
@@ -446,7 +446,7 @@
         req.run = run
         if not self._engines.start(run):
             req.run = None
-            self._timeline.after(
+            self._timeline.schedule(
                 0.002, lambda: self._fail(req, jobs.FailureKind.REFUSED)
             )
 
@@ -486,7 +486,7 @@
                 self._outcome.late += 1
         elif how == "refused" and not req.is_retry:
             after_s = self._rng.uniform(*self._policy.retry_after_s)
-            self._timeline.after(after_s, lambda: self._retry(req))
+            self._timeline.schedule(after_s, lambda: self._retry(req))
         elif how == "refused":
             self._outcome.refused += 1
         else:
@@ -506,7 +506,7 @@
         for req in list(self._requests.values()):
             if req.run is not None and now_s - req.last_s > CALLER_TIMEOUT_S:
                 self._close(req, "failed")
-        self._timeline.after(TICK_S, self._tick)
+        self._timeline.schedule(TICK_S, self._tick)
 
     def _exchange(self) -> None:
         now_s = self._timeline.now_s
@@ -517,7 +517,7 @@
                     state.fleet.memory.set_peer_usage(
                         other, memory.PeerUsage(now_s, own, other)
                     )
-        self._timeline.after(PEER_UPDATE_PERIOD_S, self._exchange)
+        self._timeline.schedule(PEER_UPDATE_PERIOD_S, self._exchange)
 
     # Faults.
 
@@ -526,7 +526,7 @@
             for engine in self._choose(fault):
                 if fault.kind == "slow":
                     engine.pace = fault.factor
-                    self._timeline.after(
+                    self._timeline.schedule(
                         fault.for_s,
                         functools.partial(self._set_pace, engine),
                     )
@@ -554,7 +554,7 @@
         now_s = self._timeline.now_s
         engine.is_dead = True
         self._dead_since_s[engine.id] = now_s
-        self._timeline.after(
+        self._timeline.schedule(
             CRASH_DETECTION_S, lambda: self._reroute_requests(engine)
         )
         if fault.is_permanent:
@@ -569,7 +569,7 @@
             del self._dead_since_s[engine.id]
             self._list_engines()
 
-        self._timeline.after(max(fault.for_s, REPLAN_DELAY_S + 0.1), restart)
+        self._timeline.schedule(max(fault.for_s, REPLAN_DELAY_S + 0.1), restart)
 
     def _reroute_requests(self, engine: passes.Engine) -> None:
         """Reroutes the requests of a crashed engine, as the watch does."""
@@ -586,7 +586,7 @@
                 stalled = frozenset([engine.id])
                 parts = state.reroute(run.id, stalled, now_s).parts
             if parts is not None and self._can_run(parts):
-                self._engines.move(run, parts)
+                self._engines.reroute(run, parts)
             else:
                 self._fail(req, jobs.FailureKind.CUT)
 
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -26,10 +26,10 @@
 HOP_S: Final = 0.0004
 
 # Prompt tokens prefilled with each token step of a pass.
-CHUNK: Final = 512
+PREFILL_CHUNK_TOKENS: Final = 512
 
 # From the preemption of a run until it restarts.
-RESTART_S: Final = 0.05
+RESTART_DELAY_S: Final = 0.05
 
 
 class Timeline:
@@ -40,7 +40,7 @@
         self._numbers = itertools.count()
         self.now_s = 0.0
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
+    def schedule(self, seconds: float, act: Callable[[], None]) -> None:
         """Schedules a callback after a delay."""
         entry = (self.now_s + seconds, next(self._numbers), act)
         heapq.heappush(self._heap, entry)
@@ -59,12 +59,12 @@
 
     id: str
     parts: tuple[paths.Part, ...]
-    prompt: int
+    prompt_tokens: int
     # Tokens to generate, and generated so far.
-    answer: int
+    answer_tokens: int
     written: int = 0
     # Tokens left to prefill at the current stage.
-    unread: int = 0
+    prefill_left: int = 0
     stage: int = 0
     # Whether it ended or was replaced by another attempt.
     is_over: bool = False
@@ -75,7 +75,7 @@
     @property
     def tokens(self) -> int:
         """Tokens that take memory on every layer of the path."""
-        return self.prompt + self.written
+        return self.prompt_tokens + self.written
 
 
 @attrs.define(eq=False)
@@ -117,48 +117,48 @@
             if part.first < engine.held[0] or part.last > engine.held[1]:
                 return False
         run.started_s = self.timeline.now_s
-        run.unread = run.tokens
+        run.prefill_left = run.tokens
         for part in run.parts:
             layers = part.last - part.first
             self.engines[part.id].resident[run] = layers
-        self._arrive(run)
+        self._enqueue(run)
         return True
 
-    def move(self, run: Run, parts: tuple[paths.Part, ...]) -> None:
+    def reroute(self, run: Run, parts: tuple[paths.Part, ...]) -> None:
         """Reroutes a run to other stages, which prefill its tokens first."""
-        self._leave(run)
+        self._remove(run)
         run.parts = parts
         run.stage = 0
-        run.unread = run.tokens
+        run.prefill_left = run.tokens
         for part in parts:
             self.engines[part.id].resident[run] = part.last - part.first
-        self._arrive(run)
+        self._enqueue(run)
 
     def end(self, run: Run) -> None:
         """Ends a run, complete or not."""
         run.is_over = True
-        self._leave(run)
+        self._remove(run)
 
-    def compute_used(self, engine: Engine) -> float:
+    def compute_kv_used(self, engine: Engine) -> float:
         """Returns the key-value memory in use, in tokens times layers."""
         return sum(r.tokens * n for r, n in engine.resident.items())
 
-    def compute_size(self, engine: Engine) -> float:
+    def compute_kv_size(self, engine: Engine) -> float:
         """Returns an engine's key-value memory, in tokens times layers."""
         if engine.held is None:
             return 0.0
         layers = engine.held[1] - engine.held[0]
-        left = engine.accelerator.memory_bytes - layers * self.spec.layer_bytes
-        return left / self.spec.token_layer_bytes
+        free = engine.accelerator.memory_bytes - layers * self.spec.layer_bytes
+        return free / self.spec.token_layer_bytes
 
-    def _leave(self, run: Run) -> None:
+    def _remove(self, run: Run) -> None:
         for part in run.parts:
             engine = self.engines[part.id]
             engine.resident.pop(run, None)
             if run in engine.waiting:
                 engine.waiting.remove(run)
 
-    def _arrive(self, run: Run) -> None:
+    def _enqueue(self, run: Run) -> None:
         if run.is_over:
             return
         engine = self.engines[run.parts[run.stage].id]
@@ -168,26 +168,26 @@
     def _begin_pass(self, engine: Engine) -> None:
         if engine.is_busy or engine.is_dead or not engine.waiting:
             return
-        self._make_room(engine)
-        writers = [r for r in engine.waiting if not r.unread]
-        steps = self.spec.stride if writers else 1
+        self._preempt_newest(engine)
+        decoding = [r for r in engine.waiting if not r.prefill_left]
+        steps = self.spec.stride if decoding else 1
         seconds = 0.0
-        if writers:
-            seconds = steps * self._compute_step_s(engine, writers)
-        done = list(writers)
-        budget = steps * CHUNK
-        for run in [r for r in engine.waiting if r.unread]:
-            read = min(run.unread, budget)
-            if not read:
+        if decoding:
+            seconds = steps * self._compute_step_s(engine, decoding)
+        done = list(decoding)
+        budget = steps * PREFILL_CHUNK_TOKENS
+        for run in [r for r in engine.waiting if r.prefill_left]:
+            chunk = min(run.prefill_left, budget)
+            if not chunk:
                 break
-            budget -= read
-            seconds += self._compute_read_s(engine, run, read)
-            run.unread -= read
-            if not run.unread:
+            budget -= chunk
+            seconds += self._compute_prefill_s(engine, run, chunk)
+            run.prefill_left -= chunk
+            if not run.prefill_left:
                 done.append(run)
         engine.waiting = [r for r in engine.waiting if r not in done]
         engine.is_busy = True
-        self.timeline.after(seconds, lambda: self._end_pass(engine, done))
+        self.timeline.schedule(seconds, lambda: self._end_pass(engine, done))
 
     def _end_pass(self, engine: Engine, done: list[Run]) -> None:
         engine.is_busy = False
@@ -195,65 +195,65 @@
             return
         for run in done:
             if not run.is_over and run in engine.resident:
-                self._pass_on(run)
+                self._advance(run)
         self._begin_pass(engine)
 
-    def _pass_on(self, run: Run) -> None:
+    def _advance(self, run: Run) -> None:
         """Sends a run to its next stage, or records the tokens it wrote."""
         run.stage += 1
         if run.stage < len(run.parts):
             # Each stage prefills the prompt before its first token step.
-            run.unread = run.tokens if run.written == 0 else 0
-            self.timeline.after(HOP_S, lambda: self._arrive(run))
+            run.prefill_left = run.tokens if run.written == 0 else 0
+            self.timeline.schedule(HOP_S, lambda: self._enqueue(run))
             return
         run.stage = 0
         run.written += self.spec.stride
         run.on_event()
-        if run.written >= run.answer:
+        if run.written >= run.answer_tokens:
             self.end(run)
             run.on_end()
             return
-        self.timeline.after(HOP_S, lambda: self._arrive(run))
+        self.timeline.schedule(HOP_S, lambda: self._enqueue(run))
 
-    def _make_room(self, engine: Engine) -> None:
+    def _preempt_newest(self, engine: Engine) -> None:
         """Preempts the newest runs while memory is short."""
-        size = self.compute_size(engine)
-        while engine.resident and self.compute_used(engine) > size:
+        size = self.compute_kv_size(engine)
+        while engine.resident and self.compute_kv_used(engine) > size:
             newest = max(engine.resident, key=lambda r: r.started_s)
             if len(engine.resident) == 1:
                 return
             engine.preempted += 1
-            self._leave(newest)
+            self._remove(newest)
             restart = functools.partial(self._restart, newest)
-            self.timeline.after(RESTART_S, restart)
+            self.timeline.schedule(RESTART_DELAY_S, restart)
 
     def _restart(self, run: Run) -> None:
         if run.is_over:
             return
         run.started_s = self.timeline.now_s
         run.stage = 0
-        run.unread = run.tokens
+        run.prefill_left = run.tokens
         for part in run.parts:
             self.engines[part.id].resident[run] = part.last - part.first
-        self._arrive(run)
+        self._enqueue(run)
 
-    def _compute_step_s(self, engine: Engine, writers: list[Run]) -> float:
+    def _compute_step_s(self, engine: Engine, decoding: list[Run]) -> float:
         """Returns the seconds of one token step of a pass."""
         spec = self.spec
         total = 0.0
         # Runs use different numbers of layers; the fixed cost of a step is
         # that of the largest.
-        widest = max(engine.resident.get(r, 0) for r in writers)
+        widest = max(engine.resident.get(r, 0) for r in decoding)
         total += spec.step_s * widest / spec.layers
-        for run in writers:
+        for run in decoding:
             layers = engine.resident.get(run, 0)
             each = spec.per_request_s + spec.per_token_s * run.tokens
             total += each * layers / spec.layers
         return total * engine.accelerator.pace * engine.pace
 
-    def _compute_read_s(self, engine: Engine, run: Run, read: int) -> float:
+    def _compute_prefill_s(self, engine: Engine, run: Run, chunk: int) -> float:
         """Returns the seconds of prefilling a chunk of a prompt."""
         layers = engine.resident.get(run, 0)
-        seconds = read / self.spec.prefill_tokens_per_s
+        seconds = chunk / self.spec.prefill_tokens_per_s
         factor = engine.accelerator.prefill_factor * engine.pace
         return seconds * factor * layers / self.spec.layers
