--- a/bench/policies.py
+++ b/bench/policies.py
@@ -20,8 +20,8 @@
 ROUTERS: Final = 4
 CHAINS: Final = 12
 TOKENS: Final = 40
-REPORT_S: Final = 0.5
-SECONDS: Final = 30.0
+REPORT_PERIOD_S: Final = 0.5
+DURATION_S: Final = 30.0
 LOAD: Final = 0.7
 
 Choose = Callable[["Model", int, float], tuple[graph.Edge, ...]]
@@ -33,8 +33,8 @@
 
     path: tuple[graph.Edge, ...]
     router: int
-    left: float
-    begun_s: float
+    tokens_left: float
+    started_s: float
 
 
 @attrs.frozen
@@ -45,7 +45,7 @@
     mean_s: float
     p95_s: float
     # Completed requests as a share of those that arrived.
-    done: float
+    done_share: float
 
 
 class Model:
@@ -86,7 +86,7 @@
             {n: loads.UpstreamLoad(0) for n in self.speeds}
             for _ in range(ROUTERS)
         ]
-        self.turn = [self.rng.randrange(CHAINS) for _ in range(ROUTERS)]
+        self.next_chains = [self.rng.randrange(CHAINS) for _ in range(ROUTERS)]
 
     def get_rate(self, path: tuple[graph.Edge, ...]) -> float:
         """Returns tokens per second of one request on a path."""
@@ -94,7 +94,7 @@
             e.tokens_per_s / max(1, self.running[e.upstream]) for e in path
         )
 
-    def get_bound(self) -> float:
+    def compute_throughput_limit(self) -> float:
         """Returns the throughput of the slower half of layers, in tokens/s."""
         first = sum(e.tokens_per_s for e in self.graph.get_edges(0))
         last = sum(e.tokens_per_s for e in self.graph.get_edges(16))
@@ -114,13 +114,13 @@
     return model.make_chain(model.rng.randrange(CHAINS))
 
 
-def choose_in_turn(model: Model, router: int, now_s: float) -> Path:
+def choose_round_robin(model: Model, router: int, now_s: float) -> Path:
     """Chooses the chains round robin."""
-    model.turn[router] = (model.turn[router] + 1) % CHAINS
-    return model.make_chain(model.turn[router])
+    model.next_chains[router] = (model.next_chains[router] + 1) % CHAINS
+    return model.make_chain(model.next_chains[router])
 
 
-def choose_shorter(model: Model, router: int, now_s: float) -> Path:
+def choose_less_loaded(model: Model, router: int, now_s: float) -> Path:
     """Chooses the less loaded of two random chains, ignoring speed."""
     pair = [model.make_chain(model.rng.randrange(CHAINS)) for _ in range(2)]
     known = model.known[router]
@@ -129,7 +129,7 @@
     )
 
 
-def choose_joined(model: Model, router: int, now_s: float) -> Path:
+def choose_stages(model: Model, router: int, now_s: float) -> Path:
     """Chooses the less loaded of two stages per boundary, ignoring speed."""
     known = model.known[router]
     path = []
@@ -141,7 +141,7 @@
     return tuple(path)
 
 
-def choose_ours(model: Model, router: int, now_s: float) -> Path:
+def choose_by_cost(model: Model, router: int, now_s: float) -> Path:
     """Chooses as the router: sampled by speed, least expected time."""
     known = graph.NetworkState(model.known[router], {}, now_s)
     path = graph.choose_path(model.graph, known, model.rng)
@@ -153,10 +153,10 @@
 
 POLICIES: Final[dict[str, Choose]] = {
     "random": choose_random,
-    "round robin": choose_in_turn,
-    "shorter of two": choose_shorter,
-    "shorter of two, stages joined freely": choose_joined,
-    "cheapest of two by speed": choose_ours,
+    "round robin": choose_round_robin,
+    "shorter of two": choose_less_loaded,
+    "shorter of two, stages joined freely": choose_stages,
+    "cheapest of two by speed": choose_by_cost,
 }
 
 
@@ -164,7 +164,7 @@
     """Runs one policy; arrivals depend on load and seed only."""
     model = Model(seed)
     arrivals = random.Random(seed + 1)
-    rate = load * model.get_bound() / TOKENS
+    rate = load * model.compute_throughput_limit() / TOKENS
     step = 0.02
     jobs: list[Job] = []
     times: list[float] = []
@@ -172,7 +172,7 @@
     due = arrivals.expovariate(rate)
     report = 0.0
     arrived = 0
-    while now < SECONDS:
+    while now < DURATION_S:
         while due <= now:
             router = arrivals.randrange(ROUTERS)
             path = choose(model, router, now)
@@ -183,22 +183,22 @@
             arrived += 1
             due += arrivals.expovariate(rate)
         if now >= report:
-            report += REPORT_S
+            report += REPORT_PERIOD_S
             for known in model.known:
                 for name, item in known.items():
                     loads.note_report(item, model.running[name], now)
         now += step
-        going = []
+        unfinished = []
         for job in jobs:
-            job.left -= model.get_rate(job.path) * step
-            if job.left > 0:
-                going.append(job)
+            job.tokens_left -= model.get_rate(job.path) * step
+            if job.tokens_left > 0:
+                unfinished.append(job)
                 continue
-            times.append(now - job.begun_s)
+            times.append(now - job.started_s)
             for edge in job.path:
                 model.running[edge.upstream] -= 1
                 model.known[job.router][edge.upstream].own -= 1
-        jobs = going
+        jobs = unfinished
     times.sort()
     worst = heapq.nlargest(max(1, len(times) // 20), times)
     return Outcome(
