--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -20,7 +20,7 @@
     text = "".join(json.dumps(line) + "\n" for line in lines)
     print(text, end="")
     FILE.write_text(text, encoding="utf-8")
-    figures.say(f"{len(lines)} slopes written to {FILE}")
+    figures.log_progress(f"{len(lines)} slopes written to {FILE}")
     return 0
 
 
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -47,6 +47,6 @@
     return 0.0
 
 
-def say(text: str) -> None:
+def log_progress(text: str) -> None:
     """Prints a progress message to standard error."""
     print(text, file=sys.stderr, flush=True)
--- a/bench/load.py
+++ b/bench/load.py
@@ -16,14 +16,14 @@
 from tests import scene
 
 # Range and precision of histograms: 10 us to 60 s with two digits.
-LOWEST: Final = 10
-HIGHEST: Final = 60_000_000
-DIGITS: Final = 2
+LOWEST_US: Final = 10
+HIGHEST_US: Final = 60_000_000
+SIGNIFICANT_DIGITS: Final = 2
 
 
 def make_histogram() -> Any:
     """Returns an empty histogram of microseconds."""
-    return histogram.HdrHistogram(LOWEST, HIGHEST, DIGITS)
+    return histogram.HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
 @attrs.frozen
@@ -47,7 +47,7 @@
     sent_s: float
     status: int = 0
     tokens: int = 0
-    whole: bool = False
+    is_complete: bool = False
     first_s: float = 0.0
     end_s: float = 0.0
 
@@ -58,19 +58,19 @@
 
     seconds: float
     samples: list[Sample] = attrs.Factory(list)
-    first: Any = attrs.Factory(make_histogram)
-    between: Any = attrs.Factory(make_histogram)
+    first_token: Any = attrs.Factory(make_histogram)
+    token_gap: Any = attrs.Factory(make_histogram)
     refusal: Any = attrs.Factory(make_histogram)
     lock: threading.Lock = attrs.Factory(threading.Lock)
 
     def get_first_ms(self, percent: float) -> float:
         """Returns a percentile of the time to the first token."""
-        value: float = self.first.get_value_at_percentile(percent) / 1000
+        value: float = self.first_token.get_value_at_percentile(percent) / 1000
         return value
 
     def get_between_ms(self, percent: float) -> float:
         """Returns a percentile of the time between tokens."""
-        value: float = self.between.get_value_at_percentile(percent) / 1000
+        value: float = self.token_gap.get_value_at_percentile(percent) / 1000
         return value
 
     def count_tokens(self, start_s: float, end_s: float) -> int:
@@ -78,7 +78,7 @@
         return sum(
             s.tokens
             for s in self.samples
-            if s.whole and start_s <= s.end_s < end_s
+            if s.is_complete and start_s <= s.end_s < end_s
         )
 
     def count_refused(self) -> int:
@@ -155,17 +155,17 @@
             sample.tokens += 1
             with result.lock:
                 if last:
-                    result.between.record_value(_to_us(now - last))
+                    result.token_gap.record_value(_to_us(now - last))
                 else:
                     sample.first_s = now - sent
-                    result.first.record_value(_to_us(now - sent))
+                    result.first_token.record_value(_to_us(now - sent))
             last = now
         elif line == "data: [DONE]":
-            sample.whole = True
+            sample.is_complete = True
             sample.tokens = shape.tokens
     sample.end_s = time.monotonic() - start
     res.release_conn()
 
 
 def _to_us(seconds: float) -> int:
-    return max(LOWEST, min(HIGHEST, int(seconds * 1e6)))
+    return max(LOWEST_US, min(HIGHEST_US, int(seconds * 1e6)))
--- a/bench/main.py
+++ b/bench/main.py
@@ -38,7 +38,7 @@
 
 def emit_policies() -> None:
     """Route choice against simpler policies, the same arrivals for each."""
-    figures.say("routing policies")
+    figures.log_progress("routing policies")
     found = {n: policies.run(p) for n, p in policies.POLICIES.items()}
     ours = found["cheapest of two by speed"]
     for name, outcome in found.items():
@@ -69,7 +69,7 @@
 
 def emit_fleet() -> None:
     """Policies of placement on the model of engines, at three loads."""
-    figures.say("policies on the model of engines")
+    figures.log_progress("policies on the model of engines")
     loads = (1.0, 2.0, 3.0)
     fleet.emit(loads, fleet.compare(loads, fleet.POLICIES))
 
@@ -109,7 +109,9 @@
 
 def emit_in_force() -> None:
     """Confirmation to in force in every router of eight nodes."""
-    figures.say("confirmation to in force over 8 nodes in 2 data centres")
+    figures.log_progress(
+        "confirmation to in force over 8 nodes in 2 data centres"
+    )
     play = scene.Scene()
     try:
         play.start_platform()
@@ -144,7 +146,7 @@
 
 def emit_takeover() -> None:
     """Time until a successor holds the lease of a dead holder."""
-    figures.say("takeover of the lease")
+    figures.log_progress("takeover of the lease")
     play = scene.Scene()
     try:
         play.start_platform()
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -210,7 +210,7 @@
 
 def main() -> None:
     """Prints the figures."""
-    figures.say("relay: 200 streams at 20 events/s")
+    figures.log_progress("relay: 200 streams at 20 events/s")
     ours, plain = run()
     figures.emit(
         figures.Figure(
--- a/bench/saturation.py
+++ b/bench/saturation.py
@@ -97,7 +97,7 @@
 
 def emit_saturation(bed: Bed) -> None:
     """Throughput at the bound, and goodput at three times it."""
-    figures.say("throughput at 1.2 times the bound")
+    figures.log_progress("throughput at 1.2 times the bound")
     figures.emit(
         figures.Figure(
             "throughput_share_of_bound",
@@ -107,7 +107,7 @@
             bed.bound,
         )
     )
-    figures.say("goodput at three times the bound")
+    figures.log_progress("goodput at three times the bound")
     figures.emit(
         figures.Figure(
             "goodput_share_at_3x",
@@ -121,7 +121,7 @@
 
 def emit_recovery(bed: Bed) -> None:
     """One of four replicas dies under 80% load."""
-    figures.say("recovery after one of four replicas dies")
+    figures.log_progress("recovery after one of four replicas dies")
     seconds, kill_at = 14.0, 6.0
     killer = threading.Timer(kill_at, bed.play.processes["r3-a"].kill)
     killer.start()
@@ -145,7 +145,7 @@
             before * 1000,
         )
     )
-    lost = [s for s in result.samples if s.status == 200 and not s.whole]
+    lost = [s for s in result.samples if s.status == 200 and not s.is_complete]
     figures.emit(
         figures.Figure(
             "answers_not_whole_after_death",
@@ -159,7 +159,7 @@
 
 def emit_limit() -> None:
     """A workspace's limit over two routers, and with news of peers stopped."""
-    figures.say("a workspace's limit over two routers")
+    figures.log_progress("a workspace's limit over two routers")
     limit = 12
     bed = start_bed(limit)
     try:
@@ -202,7 +202,7 @@
 def get_p95(result: load.Result, start_s: float, end_s: float) -> float:
     """Returns p95 of the first token of requests sent in a window."""
     times = sorted(
-        s.first_s if s.whole else 60.0
+        s.first_s if s.is_complete else 60.0
         for s in result.samples
         if start_s <= s.sent_s < end_s and s.status == 200
     )
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -506,7 +506,7 @@
     """Measures everything; the order puts processes last."""
     found: list[Slope] = []
     done = found.extend
-    figures.say("state, tables, fold, checkpoints")
+    figures.log_progress("state, tables, fold, checkpoints")
     by_replicas = (50, 100, 200, 371)
     done(
         [
@@ -544,16 +544,16 @@
             measure_records((1, 2, 4, 8)),
         ]
     )
-    figures.say("planner, claims")
+    figures.log_progress("planner, claims")
     done([measure_planner((100, 300, 900, 2600))])
     done(measure_claims((10, 40, 100, 300), 2.0))
-    figures.say("control daemon by records")
+    figures.log_progress("control daemon by records")
     done(measure_control_changes((1, 5, 20, 50), 4.0))
-    figures.say("router by requests")
+    figures.log_progress("router by requests")
     done(measure_requests((10, 20, 40, 80), 4.0))
-    figures.say("router by streams")
+    figures.log_progress("router by streams")
     done(measure_relay((100, 200, 300, 400), 4.0))
     done([measure_added_delay((50, 100, 200, 400), 4.0)])
-    figures.say("control daemons by nodes")
+    figures.log_progress("control daemons by nodes")
     done(measure_nodes((4, 8, 16, 32), 6.0))
     return found
