--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -30,8 +30,11 @@
 
 def make_kv_policy(tokens: int) -> fleetplay.Policy:
     """Returns a policy with at least `tokens` of capacity on each layer."""
-    rooms = (float(tokens), *[r for r in ranges.KV_TOKENS_LEVELS if r < tokens])
-    return fleetplay.Policy(f"room {tokens // 1000}k", rooms)
+    levels = (
+        float(tokens),
+        *[n for n in ranges.KV_TOKENS_LEVELS if n < tokens],
+    )
+    return fleetplay.Policy(f"room {tokens // 1000}k", levels)
 
 
 POLICIES: Final = (
--- a/bench/fleetplay.py
+++ b/bench/fleetplay.py
@@ -83,7 +83,7 @@
     data_centre: str = ""
     # Number of engines, drawn from those with requests.
     count: int = 1
-    # Factor on the traffic of a burst, or the pace of a slow engine.
+    # Factor on the traffic of a burst, or on a slow engine's pass times.
     factor: float = 1.0
     # Whether the engine never restarts.
     is_permanent: bool = False
