--- a/bench/duties.py
+++ b/bench/duties.py
@@ -1,9 +1,9 @@
-"""What each duty of an idle host costs, against the hosts and engines it knows.
+"""Measures the processor time of an idle host's duties by deployment size.
 
-``python -m bench.duties [--hosts N...] [--seconds S] [--reader]`` runs the
-host's own parts in this process, before a stand-in of the store and as many
-engines as hosts, and sends it the datagrams that its neighbours would. Prints
-JSON lines: parts of a core by duty and size. Read next:
+``python -m bench.duties [--hosts N...] [--seconds S] [--reader]`` runs a host
+in this process against a fake store that lists as many engines as hosts, and
+sends it the peer updates that the other hosts would send. Prints JSON lines:
+the share of a core by duty and number of hosts. Read next:
 `egretspur.daemons.duties`.
 """
 
@@ -28,33 +28,33 @@
 from tests import fleets, listing, sites, stage
 from tests.steps import platform_steps
 
-SIZES: Final = (8, 61, 195, 370)
-PLACES: Final = ("dc-a", "dc-b", "dc-c", "dc-d", "dc-e")
+HOST_COUNTS: Final = (8, 61, 195, 370)
+DATA_CENTRES: Final = ("dc-a", "dc-b", "dc-c", "dc-d", "dc-e")
 
-# Engines that a host's own requests are at: half a dozen of five stages each.
+# Engines that serve a host's requests: six requests of five stages each.
 IN_FLIGHT: Final = 30
 
-# Accelerators of a data centre, by share.
-SHARES: Final = {"a100": 1, "l40s": 4, "l4": 6}
+# Relative numbers of accelerators in a data centre.
+ACCELERATOR_WEIGHTS: Final = {"a100": 1, "l40s": 4, "l4": 6}
 
-# From the start until a host's idle costs are measured, in seconds.
+# From the host's readiness until the measurement begins.
 SETTLE_S: Final = 4.0
 
-# Name of the thread that speaks for the neighbours.
-BENCH: Final = "bench"
+# Thread that sends the peer updates; left out of the results.
+SENDER_THREAD: Final = "bench"
 
-# Hosts whose addresses come before this one's read the store for it.
-IP: Final = "127.0.250.1"
+# The hosts with the lowest addresses read the store for the others.
+HOST_IP: Final = "127.0.250.1"
 READER_IP: Final = "127.0.0.2"
 
 
 def measure(hosts: int, seconds: float, ip: str) -> dict[str, float]:
-    """Returns the parts of a core that each duty takes.
+    """Returns the share of a core that each duty takes.
 
     Args:
-        hosts: Of the deployment, in `PLACES`; as many engines.
-        seconds: How long it is measured.
-        ip: Address of the host that is measured.
+        hosts: Number of hosts in the deployment, and of engines.
+        seconds: Duration of the measurement.
+        ip: Address of the measured host.
     """
     scene = stage.Stage()
     try:
@@ -77,7 +77,9 @@
     subject.start()
     stop = threading.Event()
     neighbours = threading.Thread(
-        target=tell, args=(cfg, hosts, engines, stop), name=BENCH
+        target=send_peer_updates,
+        args=(cfg, hosts, engines, stop),
+        name=SENDER_THREAD,
     )
     neighbours.start()
     try:
@@ -94,21 +96,22 @@
     return {
         duty: (after[duty] - before.get(duty, 0.0)) / took_s
         for duty in sorted(after)
-        if duty not in (BENCH, "main", duties.ENDED_THREADS)
+        if duty not in (SENDER_THREAD, "main", duties.ENDED_THREADS)
         and not duty.startswith("Thread")
     }
 
 
 def make_settings(store: str, ip: str) -> node.HostSettings:
-    """Returns the settings of the host that is measured."""
-    # Held until this returns; nothing else of the bench connects meanwhile.
-    held = [sites.hold_port((ip,)) for _ in range(3)]
-    ports = [port for port, _ in held]
+    """Returns the settings of the measured host."""
+    # The ports stay reserved until this returns; the bench opens no other
+    # connection before the host binds them.
+    reserved = [sites.hold_port((ip,)) for _ in range(3)]
+    ports = [port for port, _ in reserved]
     return node.HostSettings(
         name="host",
         ip=ip,
-        data_centre=PLACES[0],
-        data_centres=PLACES,
+        data_centre=DATA_CENTRES[0],
+        data_centres=DATA_CENTRES,
         listen=f"{ip}:{ports[0]}",
         listen_ready=f"{ip}:{ports[1]}",
         listen_control=f"{ip}:{ports[2]}",
@@ -126,7 +129,7 @@
 
 
 def fill_store(scene: stage.Stage, engines: int) -> list[str]:
-    """Writes a configuration and engines that hold their layers."""
+    """Writes a configuration and engines with layers, returns their names."""
     cfg = sites.make_config(["key-1"], 2)
     cfg["services"][0]["inference_engine"] = {
         **platform_steps.ENGINE,
@@ -144,9 +147,9 @@
     site = sites.Site(stage=scene)
     site.write("keyed.op", "config", cfg)
     names = []
-    for place in PLACES:
-        count = -(-engines // len(PLACES))
-        for name, layers in lay_out(place, count).items():
+    for place in DATA_CENTRES:
+        count = -(-engines // len(DATA_CENTRES))
+        for name, layers in plan_layers(place, count).items():
             names.append(name)
             number = len(names)
             site.write(
@@ -167,10 +170,12 @@
     return names
 
 
-def lay_out(place: str, count: int) -> dict[str, upstreams.Layers]:
-    """Returns what the engines of a data centre are to hold, by name."""
+def plan_layers(place: str, count: int) -> dict[str, upstreams.Layers]:
+    """Plans the layers of a data centre's engines, returned by engine name."""
     rng = random.Random(place)
-    kinds = rng.choices(list(SHARES), list(SHARES.values()), k=count)
+    kinds = rng.choices(
+        list(ACCELERATOR_WEIGHTS), list(ACCELERATOR_WEIGHTS.values()), k=count
+    )
     names = [f"{kind}-{place}-{i}" for i, kind in enumerate(kinds)]
     held: dict[str, upstreams.Layers] = {}
     while True:
@@ -188,33 +193,35 @@
         held.update(orders)
 
 
-def tell(
+def send_peer_updates(
     cfg: node.HostSettings,
     hosts: int,
     engines: Sequence[str],
     stop: threading.Event,
 ) -> None:
-    """Sends what the neighbours of a host tell it, until told to stop."""
-    near = -(-hosts // len(PLACES)) - 1
-    told = [make_news(i, PLACES[0], engines) for i in range(near)]
-    told += [
-        make_news(near + i, place, engines)
-        for i, place in enumerate(PLACES[1:])
+    """Sends the host the peer updates of all other hosts until stopped."""
+    near = -(-hosts // len(DATA_CENTRES)) - 1
+    updates = [
+        make_peer_update(i, DATA_CENTRES[0], engines) for i in range(near)
+    ]
+    updates += [
+        make_peer_update(near + i, place, engines)
+        for i, place in enumerate(DATA_CENTRES[1:])
     ]
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     with sock:
         while not stop.wait(exchange.SEND_PERIOD_S):
-            for news in told:
-                # Hosts don't send in one moment.
-                stop.wait(exchange.SEND_PERIOD_S / len(told) / 2)
-                data = datagrams.encode_update(news)
+            for update in updates:
+                # Spreads the updates out, as hosts do not send in step.
+                stop.wait(exchange.SEND_PERIOD_S / len(updates) / 2)
+                data = datagrams.encode_update(update)
                 sock.sendto(data, (cfg.ip, cfg.exchange_port))
 
 
-def make_news(
+def make_peer_update(
     number: int, place: str, engines: Sequence[str]
 ) -> datagrams.PeerUpdate:
-    """Returns what one neighbour tells."""
+    """Returns the peer update of one other host."""
     rng = random.Random(number)
     used = rng.sample(list(engines), min(IN_FLIGHT, len(engines)))
     return datagrams.PeerUpdate(
@@ -231,13 +238,13 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Prints the duties' costs."""
+    """Prints the share of a core by duty and number of hosts."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--hosts", type=int, nargs="+", default=SIZES)
+    parser.add_argument("--hosts", type=int, nargs="+", default=HOST_COUNTS)
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--reader", action="store_true")
     args = parser.parse_args(argv)
-    ip = READER_IP if args.reader else IP
+    ip = READER_IP if args.reader else HOST_IP
     found = {n: measure(n, args.seconds, ip) for n in args.hosts}
     for hosts, costs in found.items():
         for duty, part in {**costs, "all": sum(costs.values())}.items():
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Small open-loop load tool: arrivals that don't wait for answers."""
+"""Open-loop load generator: arrivals do not wait for answers."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from egretspur import transport
 from tests import scene
 
-# Microseconds: from 10 us to 60 s with two digits.
-LOWEST: Final = 10
-HIGHEST: Final = 60_000_000
-DIGITS: Final = 2
+# Range and precision of histograms: 10 us to 60 s with two digits.
+LOWEST_US: Final = 10
+HIGHEST_US: Final = 60_000_000
+SIGNIFICANT_DIGITS: Final = 2
 
 
 def make_histogram() -> Any:
     """Returns an empty histogram of microseconds."""
-    return histogram.HdrHistogram(LOWEST, HIGHEST, DIGITS)
+    return histogram.HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
 @attrs.frozen
 class Shape:
-    """What arrives."""
+    """Rate, duration and mix of the requests."""
 
-    # Requests per second, all workspaces together.
+    # Requests per second of all workspaces together.
     rate: float
     seconds: float
     # Workspace names with their share of the arrivals.
@@ -40,54 +40,54 @@
 
 @attrs.define
 class Sample:
-    """One request's fate."""
+    """Status and times of one request."""
 
     workspace: str
-    # Seconds since the load's start at which it was sent.
+    # Scheduled send time in seconds since the start of the load.
     sent_s: float
     status: int = 0
     tokens: int = 0
-    whole: bool = False
+    is_complete: bool = False
     first_s: float = 0.0
     end_s: float = 0.0
 
 
 @attrs.define
 class Result:
-    """All samples of a run."""
+    """Samples of a run, with histograms of their times."""
 
     seconds: float
     samples: list[Sample] = attrs.Factory(list)
-    first: Any = attrs.Factory(make_histogram)
-    between: Any = attrs.Factory(make_histogram)
+    first_token: Any = attrs.Factory(make_histogram)
+    token_gap: Any = attrs.Factory(make_histogram)
     refusal: Any = attrs.Factory(make_histogram)
     lock: threading.Lock = attrs.Factory(threading.Lock)
 
     def get_first_ms(self, percent: float) -> float:
         """Returns a percentile of the time to the first token."""
-        value: float = self.first.get_value_at_percentile(percent) / 1000
+        value: float = self.first_token.get_value_at_percentile(percent) / 1000
         return value
 
     def get_between_ms(self, percent: float) -> float:
         """Returns a percentile of the time between tokens."""
-        value: float = self.between.get_value_at_percentile(percent) / 1000
+        value: float = self.token_gap.get_value_at_percentile(percent) / 1000
         return value
 
     def count_tokens(self, start_s: float, end_s: float) -> int:
-        """Returns tokens of whole answers that ended in a window."""
+        """Counts the tokens of complete answers that ended in a window."""
         return sum(
             s.tokens
             for s in self.samples
-            if s.whole and start_s <= s.end_s < end_s
+            if s.is_complete and start_s <= s.end_s < end_s
         )
 
     def count_refused(self) -> int:
-        """Returns how many were refused."""
+        """Counts the requests with an error status, 400 or higher."""
         return sum(1 for s in self.samples if s.status >= 400)
 
 
 def run_load(addresses: Sequence[str], shape: Shape, seed: int = 1) -> Result:
-    """Sends the load; returns when every answer has come."""
+    """Sends the load and waits up to 60 s for each answer."""
     rng = random.Random(seed)
     result = Result(shape.seconds)
     conns = transport.Transport(2.0, 30.0)
@@ -155,17 +155,17 @@
             sample.tokens += 1
             with result.lock:
                 if last:
-                    result.between.record_value(_to_us(now - last))
+                    result.token_gap.record_value(_to_us(now - last))
                 else:
                     sample.first_s = now - sent
-                    result.first.record_value(_to_us(now - sent))
+                    result.first_token.record_value(_to_us(now - sent))
             last = now
         elif line == "data: [DONE]":
-            sample.whole = True
+            sample.is_complete = True
             sample.tokens = shape.tokens
     sample.end_s = time.monotonic() - start
     res.release_conn()
 
 
 def _to_us(seconds: float) -> int:
-    return max(LOWEST, min(HIGHEST, int(seconds * 1e6)))
+    return max(LOWEST_US, min(HIGHEST_US, int(seconds * 1e6)))
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,8 +1,8 @@
-"""Routing policies compared on one small queueing model, seeded.
+"""Compares routing policies on a small, seeded queueing model.
 
-Engines share their speed among the requests they work on; a chain runs at the
-speed of its slowest stage. Load reports are half a second old, and four
-routers choose without knowing of each other. It drives the real choice.
+Engines share their speed among their requests; a chain runs at the speed of
+its slowest stage. Load reports come every half second, and four routers choose
+independently. One of the policies is the router's own `graph.choose_path`.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 ROUTERS: Final = 4
 CHAINS: Final = 12
 TOKENS: Final = 40
-REPORT_S: Final = 0.5
-SECONDS: Final = 30.0
+REPORT_PERIOD_S: Final = 0.5
+DURATION_S: Final = 30.0
 LOAD: Final = 0.7
 
 Choose = Callable[["Model", int, float], tuple[graph.Edge, ...]]
@@ -29,27 +29,27 @@
 
 @attrs.define
 class Job:
-    """A request in service: tokens left."""
+    """A request in service."""
 
     path: tuple[graph.Edge, ...]
     router: int
-    left: float
-    begun_s: float
+    tokens_left: float
+    started_s: float
 
 
 @attrs.frozen
 class Outcome:
-    """What a policy achieved."""
+    """Latency and throughput of a policy."""
 
     # Mean and 95th percentile of seconds per request.
     mean_s: float
     p95_s: float
-    # Tokens done as a share of what arrived.
-    done: float
+    # Completed requests as a share of those that arrived.
+    done_share: float
 
 
 class Model:
-    """Chains of two unlike stages, and four routers."""
+    """Chains of two stages of unequal speed, and four routers."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -72,7 +72,7 @@
                 for c in range(CHAINS)
             ),
         )
-        # Speeds eightfold apart, from chain to chain and within chains.
+        # Speeds differ up to eightfold between and within chains.
         self.speeds = {
             s.upstream: 1600.0 * self.rng.choice((1, 2, 4, 8))
             for c in self.deployment.chains
@@ -86,7 +86,7 @@
             {n: loads.UpstreamLoad(0) for n in self.speeds}
             for _ in range(ROUTERS)
         ]
-        self.turn = [self.rng.randrange(CHAINS) for _ in range(ROUTERS)]
+        self.next_chains = [self.rng.randrange(CHAINS) for _ in range(ROUTERS)]
 
     def get_rate(self, path: tuple[graph.Edge, ...]) -> float:
         """Returns tokens per second of one request on a path."""
@@ -94,8 +94,8 @@
             e.tokens_per_s / max(1, self.running[e.upstream]) for e in path
         )
 
-    def get_bound(self) -> float:
-        """Returns tokens per second that both layers of stages can do."""
+    def compute_throughput_limit(self) -> float:
+        """Returns the throughput of the slower half of layers, in tokens/s."""
         first = sum(e.tokens_per_s for e in self.graph.get_edges(0))
         last = sum(e.tokens_per_s for e in self.graph.get_edges(16))
         return min(first, last)
@@ -110,18 +110,18 @@
 
 
 def choose_random(model: Model, router: int, now_s: float) -> Path:
-    """Any chain, equally."""
+    """Chooses a chain uniformly at random."""
     return model.make_chain(model.rng.randrange(CHAINS))
 
 
-def choose_in_turn(model: Model, router: int, now_s: float) -> Path:
-    """Round robin over the chains."""
-    model.turn[router] = (model.turn[router] + 1) % CHAINS
-    return model.make_chain(model.turn[router])
+def choose_round_robin(model: Model, router: int, now_s: float) -> Path:
+    """Chooses the chains round robin."""
+    model.next_chains[router] = (model.next_chains[router] + 1) % CHAINS
+    return model.make_chain(model.next_chains[router])
 
 
-def choose_shorter(model: Model, router: int, now_s: float) -> Path:
-    """The chain with fewer requests of two, speeds unseen."""
+def choose_less_loaded(model: Model, router: int, now_s: float) -> Path:
+    """Chooses the less loaded of two random chains, ignoring speed."""
     pair = [model.make_chain(model.rng.randrange(CHAINS)) for _ in range(2)]
     known = model.known[router]
     return min(
@@ -129,8 +129,8 @@
     )
 
 
-def choose_joined(model: Model, router: int, now_s: float) -> Path:
-    """At each boundary the stage with fewer requests of two, speeds unseen."""
+def choose_stages(model: Model, router: int, now_s: float) -> Path:
+    """Chooses the less loaded of two stages per boundary, ignoring speed."""
     known = model.known[router]
     path = []
     for boundary in (0, 16):
@@ -141,8 +141,8 @@
     return tuple(path)
 
 
-def choose_ours(model: Model, router: int, now_s: float) -> Path:
-    """The product's choice: sampled by speed, cheapest expected time."""
+def choose_by_cost(model: Model, router: int, now_s: float) -> Path:
+    """Chooses as the router: sampled by speed, least expected time."""
     known = graph.NetworkState(model.known[router], {}, now_s)
     path = graph.choose_path(model.graph, known, model.rng)
     assert path is not None
@@ -153,18 +153,18 @@
 
 POLICIES: Final[dict[str, Choose]] = {
     "random": choose_random,
-    "round robin": choose_in_turn,
-    "shorter of two": choose_shorter,
-    "shorter of two, stages joined freely": choose_joined,
-    "cheapest of two by speed": choose_ours,
+    "round robin": choose_round_robin,
+    "shorter of two": choose_less_loaded,
+    "shorter of two, stages joined freely": choose_stages,
+    "cheapest of two by speed": choose_by_cost,
 }
 
 
 def run(choose: Choose, load: float = LOAD, seed: int = 7) -> Outcome:
-    """Runs one policy; the same arrivals for each."""
+    """Runs one policy; arrivals depend on load and seed only."""
     model = Model(seed)
     arrivals = random.Random(seed + 1)
-    rate = load * model.get_bound() / TOKENS
+    rate = load * model.compute_throughput_limit() / TOKENS
     step = 0.02
     jobs: list[Job] = []
     times: list[float] = []
@@ -172,7 +172,7 @@
     due = arrivals.expovariate(rate)
     report = 0.0
     arrived = 0
-    while now < SECONDS:
+    while now < DURATION_S:
         while due <= now:
             router = arrivals.randrange(ROUTERS)
             path = choose(model, router, now)
@@ -183,22 +183,22 @@
             arrived += 1
             due += arrivals.expovariate(rate)
         if now >= report:
-            report += REPORT_S
+            report += REPORT_PERIOD_S
             for known in model.known:
                 for name, item in known.items():
                     loads.note_report(item, model.running[name], now)
         now += step
-        going = []
+        unfinished = []
         for job in jobs:
-            job.left -= model.get_rate(job.path) * step
-            if job.left > 0:
-                going.append(job)
+            job.tokens_left -= model.get_rate(job.path) * step
+            if job.tokens_left > 0:
+                unfinished.append(job)
                 continue
-            times.append(now - job.begun_s)
+            times.append(now - job.started_s)
             for edge in job.path:
                 model.running[edge.upstream] -= 1
                 model.known[job.router][edge.upstream].own -= 1
-        jobs = going
+        jobs = unfinished
     times.sort()
     worst = heapq.nlargest(max(1, len(times) // 20), times)
     return Outcome(
