--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,7 +1,8 @@
-"""The slopes of the capacity page: each a few sizes of one quantity.
+"""Measures the slopes of the capacity page, each over several sizes.
 
-Every measurement returns points of size and value; `bench.capacity` fits and
-writes them. Processor time is in seconds of one core, memory in megabytes.
+Every measurement returns points of size and value; `bench.capacity` fits a
+line to them and writes both. Processor time is in seconds of one core, memory
+in megabytes.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 @attrs.frozen
 class Slope:
-    """What was measured against what."""
+    """Measured values of one quantity, with the size that each belongs to."""
 
     name: str
     size_unit: str
@@ -45,7 +46,7 @@
 
 
 def measure_relay(sizes: Sequence[int], seconds: float) -> list[Slope]:
-    """Router against open streams at 20 events a second each."""
+    """CPU and memory of a router, by open streams of 20 events/s each."""
     play = scene.Scene()
     try:
         router = relay.start_router(play, max(sizes) + 50)
@@ -69,20 +70,20 @@
 
 
 def measure_added_delay(sizes: Sequence[int], seconds: float) -> Slope:
-    """Time between two tokens at p95 beyond the source's 50 ms."""
+    """Delay that the router adds to the source's 50 ms token gap, at p95."""
     play = scene.Scene()
     points: Points = []
     try:
         router = relay.start_router(play, max(sizes) + 60)
         for streams in sizes:
-            taken = sink.Sink(router.address, streams, "/v1/completions")
-            counter = threading.Thread(target=taken.count, args=(seconds + 2,))
+            reader = sink.Sink(router.address, streams, "/v1/completions")
+            counter = threading.Thread(target=reader.count, args=(seconds + 2,))
             counter.start()
             time.sleep(1.0)
             shape = load.Shape(5.0, seconds, (("grooms", 1.0),), 20)
             result = load.run_load([router.address], shape)
             counter.join()
-            taken.close()
+            reader.close()
             time.sleep(0.5)
             points.append((streams, result.get_between_ms(95) - 50.0))
     finally:
@@ -91,7 +92,7 @@
 
 
 def measure_requests(sizes: Sequence[int], seconds: float) -> list[Slope]:
-    """Router against requests a second of five tokens each."""
+    """CPU and first-token time of a router, by requests/s of five tokens."""
     play = scene.Scene()
     cpu: Points = []
     first: Points = []
@@ -114,7 +115,7 @@
 
 
 def measure_nodes(sizes: Sequence[int], seconds: float) -> list[Slope]:
-    """Control daemon against the entry hosts of its data centre."""
+    """CPU, memory and traffic of control daemons, by nodes per data centre."""
     cpu: Points = []
     rss: Points = []
     sent: Points = []
@@ -172,7 +173,7 @@
 def measure_state(
     name: str, unit: str, sizes: Sequence[int], make: Callable[[int], Any]
 ) -> Slope:
-    """Memory of whatever `make` builds at a size."""
+    """Memory of the object that `make` builds, by the size given to it."""
     points: Points = []
     for size in sizes:
         gc.collect()
@@ -186,7 +187,7 @@
 
 
 def time_calls(call: Callable[[], Any], calls: int = 1) -> float:
-    """Returns processor seconds of one call, the best of three rounds."""
+    """Returns processor seconds per call, the lowest of three rounds."""
     best = float("inf")
     for _ in range(3):
         before = time.process_time()
@@ -197,7 +198,7 @@
 
 
 def measure_fold(sizes: Sequence[int]) -> Slope:
-    """Seconds to decode and fold records, against their number."""
+    """Seconds to decode and fold records, by their number."""
     points: Points = []
     for workspaces in sizes:
         plain = [
@@ -216,7 +217,7 @@
 
 
 def measure_checkpoint(sizes: Sequence[int]) -> list[Slope]:
-    """Time and bytes of a checkpoint, against workspaces."""
+    """Time and size of a checkpoint, by workspaces."""
     seconds: Points = []
     size: Points = []
     for workspaces in sizes:
@@ -235,9 +236,9 @@
 
 
 def measure_tables(sizes: Sequence[int]) -> list[Slope]:
-    """Making, reading and size of a routing table, against replicas."""
+    """Time to make and apply a routing table, and its size, by replicas."""
     make: Points = []
-    take: Points = []
+    apply: Points = []
     size: Points = []
     for replicas in sizes:
         state = worlds.make_state(400, 36, replicas)
@@ -254,11 +255,11 @@
                 ),
             )
         )
-        take.append((replicas, time_calls(lambda d=data: _take_table(d))))  # type: ignore[misc]
+        apply.append((replicas, time_calls(lambda d=data: _take_table(d))))  # type: ignore[misc]
         size.append((replicas, len(data) / 1e3))
     return [
         Slope("table_make_seconds", "replicas", "s", tuple(make)),
-        Slope("table_take_seconds", "replicas", "s", tuple(take)),
+        Slope("table_take_seconds", "replicas", "s", tuple(apply)),
         Slope("table_size", "replicas", "KB", tuple(size)),
     ]
 
@@ -278,19 +279,19 @@
 
 
 def measure_choice(sizes: Sequence[int]) -> Slope:
-    """Seconds of a route choice over four stages, against replicas."""
+    """Seconds of a route choice over four stages, by replicas."""
     points = [(float(n), choice.measure(n, 4) / 1e6) for n in sizes]
     return Slope("choice_seconds", "replicas", "s", tuple(points))
 
 
 def measure_choice_stages(sizes: Sequence[int]) -> Slope:
-    """Seconds of a route choice at 371 replicas, against stages."""
+    """Seconds of a route choice at 371 replicas, by stages."""
     points = [(float(n), choice.measure(371, n) / 1e6) for n in sizes]
     return Slope("choice_seconds_by_stages", "stages", "s", tuple(points))
 
 
 def measure_planner(sizes: Sequence[int]) -> Slope:
-    """Seconds of a plan for one model over all hosts, against replicas."""
+    """Seconds to plan one model over all hosts, by replicas."""
     points: Points = []
     for replicas in sizes:
         hosts = tuple(worlds.make_host(f"h{i}", i) for i in range(replicas * 4))
@@ -307,19 +308,19 @@
 
 
 def measure_messages(sizes: Sequence[int]) -> list[Slope]:
-    """Bytes and time of a peer message, against its entries."""
+    """Size of a peer update and time to merge and answer it, by entries."""
     size: Points = []
     seconds: Points = []
-    ages = entries.Retention(20.0, 3600.0, 10.0, 3600.0, 3600.0)
+    retention = entries.Retention(20.0, 3600.0, 10.0, 3600.0, 3600.0)
     for count in sizes:
-        told = tuple(_make_told(i) for i in range(count))
-        message = news.GossipMessage("host-123", "10.1.2.3:7070", 123456, told)
+        items = tuple(_make_told(i) for i in range(count))
+        message = news.GossipMessage("host-123", "10.1.2.3:7070", 123456, items)
         data = news.pack_message(message)
 
         def run(data: bytes = data) -> None:
             view = entries.View()
             found = news.unpack_message(data)
-            entries.merge(view, found.items, ages, 1.0)
+            entries.merge(view, found.items, retention, 1.0)
             entries.choose(view, 24, 2.0)
 
         size.append((count, len(data) / 1e3))
@@ -331,7 +332,7 @@
 
 
 def measure_records(sizes: Sequence[int]) -> Slope:
-    """Bytes of the records of a change, against the new chains in it."""
+    """Bytes of the records of a change, by the chains that it adds."""
     points: Points = []
     for chains in sizes:
         made = (worlds.make_deployment(1, chains, 4),)
@@ -344,7 +345,7 @@
 
 
 def _make_told(number: int) -> entries.AgedEntry:
-    said = news.NodeState(
+    node = news.NodeState(
         f"10.1.{number}.7:7070",
         "kl-hall",
         f"10.1.{number}.7:8080",
@@ -358,13 +359,13 @@
         f"kl-entry-{number}",
         1764600000000,
         4711,
-        news.pack_node(said),
+        news.pack_node(node),
     )
     return entries.AgedEntry(entry, 1.5)
 
 
 def measure_wire(sizes: Sequence[int]) -> Slope:
-    """Bytes on the wire of a call and its empty answer, against its body."""
+    """Bytes on the wire of a call and its empty answer, by body size."""
     points: Points = []
     with socket.create_server(("127.0.0.1", 0)) as server:
         host, port = server.getsockname()
@@ -401,14 +402,14 @@
 
 
 class _MemoryLog:
-    """A log client that keeps everything in this process."""
+    """A log client that keeps all values in memory."""
 
     def __init__(self) -> None:
         self.values: list[Any] = []
         self.appends = 0
 
     def append(self, stream: str, values: list[Any]) -> int:
-        """Appends values; takes as long as a platform near by."""
+        """Appends values, with the 4 ms delay of a platform near by."""
         time.sleep(0.004)
         first = len(self.values) + 1
         self.values.extend(values)
@@ -430,17 +431,17 @@
 
 
 def measure_claims(sizes: Sequence[int], seconds: float) -> list[Slope]:
-    """One partition's owner against claims a second."""
+    """CPU and appends of one partition's owner, by claims/s."""
     cpu: Points = []
     appends: Points = []
     for rate in sizes:
         client = _MemoryLog()
         ref = claim_actor.PartitionActor.start(1, client)
         before = time.process_time()
-        begun = time.monotonic()
+        start = time.monotonic()
         pending = []
         for number in range(int(rate * seconds)):
-            due = begun + number / rate
+            due = start + number / rate
             pause = due - time.monotonic()
             if pause > 0:
                 time.sleep(pause)
@@ -450,7 +451,7 @@
             pending.append(fut)
         for fut in pending:
             assert isinstance(fut.result(10), claim_table.Granted)
-        took = time.monotonic() - begun
+        took = time.monotonic() - start
         used = time.process_time() - before
         ref.stop()
         cpu.append((rate, used / took))
@@ -464,7 +465,7 @@
 def measure_control_changes(
     sizes: Sequence[int], seconds: float
 ) -> list[Slope]:
-    """A control daemon against configuration records a second."""
+    """CPU of a control daemon, by configuration records/s."""
     play = scene.Scene()
     points: Points = []
     number = 0
@@ -477,9 +478,9 @@
         pid = play.processes["kl-1"].popen.pid
         for rate in sizes:
             before = figures.read_cpu_s(pid)
-            begun = time.monotonic()
+            start = time.monotonic()
             for index in range(int(rate * seconds)):
-                pause = begun + index / rate - time.monotonic()
+                pause = start + index / rate - time.monotonic()
                 if pause > 0:
                     time.sleep(pause)
                 number += 1
@@ -490,11 +491,11 @@
                 play.call(
                     "POST", "log", "/streams/config", {"records": values[:1]}
                 )
-            pause = begun + seconds - time.monotonic()
+            pause = start + seconds - time.monotonic()
             if pause > 0:
                 time.sleep(pause)
             used = figures.read_cpu_s(pid) - before
-            points.append((rate, used / (time.monotonic() - begun)))
+            points.append((rate, used / (time.monotonic() - start)))
     finally:
         play.close()
     return [
@@ -503,7 +504,7 @@
 
 
 def make_all() -> list[Slope]:
-    """Measures everything; the order puts processes last."""
+    """Measures all slopes, first those that start no other processes."""
     found: list[Slope] = []
     done = found.extend
     figures.say("state, tables, fold, checkpoints")
