--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -16,7 +16,7 @@
 
 def main() -> int:
     """Measures and writes the file that the page is rendered from."""
-    lines = [make_line(s) for s in slopes.make_all()]
+    lines = [make_line(s) for s in slopes.measure_all()]
     text = "".join(json.dumps(line) + "\n" for line in lines)
     print(text, end="")
     FILE.write_text(text, encoding="utf-8")
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -135,9 +135,9 @@
                 play.start_control(f"n{number}", "dc")
             time.sleep(4.0)
             names = [f"n{n}" for n in range(nodes)]
-            before = [_read_control(play, n) for n in names]
+            before = [_read_control_use(play, n) for n in names]
             time.sleep(seconds)
-            after = [_read_control(play, n) for n in names]
+            after = [_read_control_use(play, n) for n in names]
         finally:
             play.close()
         pairs = list(zip(before, after, strict=True))
@@ -162,7 +162,7 @@
     bytes: float
 
 
-def _read_control(play: scene.Scene, name: str) -> _ControlUse:
+def _read_control_use(play: scene.Scene, name: str) -> _ControlUse:
     pid = play.processes[name].popen.pid
     cpu = figures.read_cpu_s(pid)
     view = play.call("GET", name, "/state")["membership"]
@@ -170,7 +170,7 @@
     return _ControlUse(cpu, figures.read_rss_mb(pid), total)
 
 
-def measure_state(
+def measure_memory(
     name: str, unit: str, sizes: Sequence[int], make: Callable[[int], Any]
 ) -> Slope:
     """Memory of the object that `make` builds, by the size given to it."""
@@ -255,7 +255,7 @@
                 ),
             )
         )
-        apply.append((replicas, time_calls(lambda d=data: _take_table(d))))  # type: ignore[misc]
+        apply.append((replicas, time_calls(lambda d=data: _apply_table(d))))  # type: ignore[misc]
         size.append((replicas, len(data) / 1e3))
     return [
         Slope("table_make_seconds", "replicas", "s", tuple(make)),
@@ -264,7 +264,7 @@
     ]
 
 
-def _take_table(data: bytes) -> None:
+def _apply_table(data: bytes) -> None:
     found = codec.load(data, tables.RoutingTable)
     dispatcher = dispatch.Dispatcher(
         "r",
@@ -313,7 +313,7 @@
     seconds: Points = []
     retention = entries.Retention(20.0, 3600.0, 10.0, 3600.0, 3600.0)
     for count in sizes:
-        items = tuple(_make_told(i) for i in range(count))
+        items = tuple(_make_aged_entry(i) for i in range(count))
         message = news.GossipMessage("host-123", "10.1.2.3:7070", 123456, items)
         data = news.pack_message(message)
 
@@ -344,7 +344,7 @@
     return Slope("change_size", "chains", "KB", tuple(points))
 
 
-def _make_told(number: int) -> entries.AgedEntry:
+def _make_aged_entry(number: int) -> entries.AgedEntry:
     node = news.NodeState(
         f"10.1.{number}.7:7070",
         "kl-hall",
@@ -503,7 +503,7 @@
     ]
 
 
-def make_all() -> list[Slope]:
+def measure_all() -> list[Slope]:
     """Measures all slopes, first those that start no other processes."""
     found: list[Slope] = []
     done = found.extend
@@ -511,25 +511,25 @@
     by_replicas = (50, 100, 200, 371)
     done(
         [
-            measure_state(
+            measure_memory(
                 "state_memory_by_workspaces",
                 "workspaces",
                 (350, 700, 1400, 2800),
                 lambda n: worlds.make_state(n, 36, 371),
             ),
-            measure_state(
+            measure_memory(
                 "state_memory_by_replicas",
                 "replicas",
                 (325, 650, 1300, 2600),
                 lambda n: worlds.make_state(400, 36, n),
             ),
-            measure_state(
+            measure_memory(
                 "state_memory_by_models",
                 "models",
                 (9, 18, 27, 36),
                 lambda n: worlds.make_state(400, n, 360),
             ),
-            measure_state(
+            measure_memory(
                 "hosts_memory_by_replicas",
                 "replicas",
                 by_replicas,
