--- a/bench/target.py
+++ b/bench/target.py
@@ -1,4 +1,4 @@
-"""The target's sizes, and what the measured slopes give there."""
+"""Sizes of the capacity target, and the estimates of the slopes at them."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 DAY_S: Final = 86_400.0
 PERIOD_S: Final = settings.PeerSettings().period_s
 ENTRIES: Final = settings.PeerSettings().entries
-# Records of one change: asked, planned, confirmed, loaded, and one to spare.
+# Records of one change: intent, plan, confirmation, prepared, and one spare.
 RECORDS_PER_CHANGE: Final = 5
-# Chains that a change adds; most only bind a workspace to chains there are.
+# Chains that a change adds; most changes only bind a workspace to existing
+# chains.
 CHAINS_PER_CHANGE: Final = 1
-# A lease record is of one size; a tenth of a change is above it.
+# Lease records have a fixed size, below a tenth of a change's records.
 LEASE_KB: Final = 0.25
-# A holder renews when half of its lease is over.
+# A holder renews its lease after half of the lease duration.
 RENEW_S: Final = settings.LeaseSettings().duration_s / 2
 FAN_OUT: Final = members.PUSH_FAN_OUT
 LOG_APPENDS_S: Final = 300.0
@@ -32,14 +33,14 @@
 
 
 class Line(Protocol):
-    """A measured slope."""
+    """A line fitted to a measured slope."""
 
     def predict(self, size: float) -> float:
-        """Returns the value at a size by the line."""
+        """Returns the value that the line gives at a size."""
 
     @property
     def slope(self) -> float:
-        """Value per size."""
+        """Increase of the value per unit of size."""
 
     @property
     def intercept(self) -> float:
@@ -47,15 +48,15 @@
 
 
 class Lines(Protocol):
-    """Measured slopes by name."""
+    """Fitted lines by the slope's name."""
 
     def __getitem__(self, name: str, /) -> Line:
-        """Returns a slope."""
+        """Returns the line of a slope."""
 
 
 @attrs.frozen
 class Sizes:
-    """The letter's target, and what follows from it by division."""
+    """The sizes that the target requires, and shares derived from them."""
 
     nodes: int = 370
     replicas: int = 2600
@@ -110,25 +111,25 @@
 
     @property
     def claims_s(self) -> float:
-        """Claims a second in one data centre, 2 in 100 requests."""
+        """Claims a second in one data centre, for 2 in 100 requests."""
         return self.requests_s * CLAIM_SHARE / self.data_centres
 
 
 @attrs.frozen
 class Row:
-    """One line of the letter."""
+    """One requirement of the target, and how far the slopes meet it."""
 
     asked: str
     given: str
     margin: str
     mechanism: str
-    # What would close a shortfall; empty if there is none.
+    # Change that would meet the requirement; empty if it is met.
     close: str = ""
 
 
 @attrs.frozen
 class RoleRow:
-    """One role at the target's size."""
+    """Resources that one role uses at the target's size."""
 
     role: str
     state: str
@@ -140,7 +141,7 @@
 
 @attrs.frozen
 class Failure:
-    """What a failure costs."""
+    """Load, messages and recovery time that a failure causes."""
 
     what: str
     load: str
@@ -149,7 +150,7 @@
 
 
 def compute_relay_cores(lines: Lines, sizes: Sizes) -> float:
-    """Returns the cores of a node that relay its token events."""
+    """Returns the cores that a node needs to relay its token events."""
     return lines["router_cpu_by_events"].slope * sizes.events_node
 
 
@@ -163,22 +164,22 @@
 
 
 def compute_control_memory(lines: Lines, sizes: Sizes) -> float:
-    """Returns the megabytes of a control daemon."""
+    """Returns the memory of a control daemon in megabytes."""
     base = lines["control_memory_by_nodes"].predict(sizes.nodes_here)
     state = lines["state_memory_by_workspaces"].predict(sizes.workspaces)
-    more = sizes.replicas - sizes.replicas_here
-    far = lines["state_memory_by_replicas"].slope * more
+    remote = sizes.replicas - sizes.replicas_here
+    remote_state = lines["state_memory_by_replicas"].slope * remote
     hosts = lines["hosts_memory_by_replicas"].predict(sizes.replicas_here)
-    return base + state + far + hosts
+    return base + state + remote_state + hosts
 
 
 def compute_control_bytes(lines: Lines, sizes: Sizes) -> float:
     """Returns KB a second of a control daemon, sent and received.
 
     A host starts one exchange a period and answers one on average: two calls
-    with a body each way. Each change costs pushes to a few peers and as many
-    received, and its records taken once and handed on once; leases come with
-    the exchange and are only taken and handed on.
+    with a body each way. For each change it sends pushes to FAN_OUT peers,
+    receives as many, and pulls and serves the change's records once. Leases
+    come with the exchange; their records are pulled and served once.
     """
     body = lines["message_size"].predict(ENTRIES)
     head = lines["wire_size"].intercept
@@ -192,11 +193,11 @@
 
 
 def compute_spread(lines: Lines, sizes: Sizes) -> float:
-    """Returns seconds from a confirmation to in force everywhere.
+    """Returns seconds from a confirmation until it is in force on all hosts.
 
-    Append and read-back, a chain of pushes to all of a data centre, each hop
-    folding and pulling, and a router's table; what no push reached gets it by
-    the next exchange.
+    Sums up the append and read-back, the hops of the pushes through a data
+    centre, each with a pull and a fold, one exchange period for hosts that no
+    push reached, and the making and applying of a router's table.
     """
     hops = 0
     reached = 1.0
@@ -210,13 +211,13 @@
 
 
 def compute_appends(sizes: Sizes) -> float:
-    """Returns appends a second to the log, by all data centres."""
+    """Returns appends a second to the log, of all data centres together."""
     flushes = min(sizes.claims_s, claim_actor.PARTITIONS / (FLUSH_S + APPEND_S))
     return sizes.records_s + flushes * sizes.data_centres
 
 
 def compute_rows(lines: Lines, sizes: Sizes) -> list[Row]:
-    """Returns a row for each line of the letter."""
+    """Returns a row for each requirement of the target."""
     cpu = compute_control_cpu(lines, sizes)
     memory = compute_control_memory(lines, sizes)
     sent = compute_control_bytes(lines, sizes)
@@ -362,7 +363,7 @@
 
 
 def compute_roles(lines: Lines, sizes: Sizes) -> list[RoleRow]:
-    """Returns a row for each role."""
+    """Returns the resource use of each role."""
     rows = {r.asked: r for r in compute_rows(lines, sizes)}
     router = next(r for a, r in rows.items() if "requests and" in a)
     folds = lines["fold_seconds"].slope
@@ -454,7 +455,7 @@
 
 
 def compute_failures(lines: Lines, sizes: Sizes) -> list[Failure]:
-    """Returns what each kind of failure costs."""
+    """Returns the effects of each kind of failure."""
     choice = lines["choice_seconds"].predict(sizes.replicas_here)
     spread = compute_spread(lines, sizes)
     streams = sizes.streams_node * sizes.nodes / sizes.replicas
@@ -510,13 +511,13 @@
 
 
 def compute_takeover() -> float:
-    """Returns seconds from a holder's death to its successor's first order."""
+    """Returns seconds from a holder's crash to its successor's first order."""
     lease = settings.LeaseSettings()
     return lease.duration_s + lease.margin_s + lease.flight_s
 
 
 def get_used_size(name: str, sizes: Sizes) -> float:
-    """Returns the size at which the page uses a slope."""
+    """Returns the size at which the page evaluates a slope."""
     per_process = 2.0
     special = {
         "control_cpu_by_nodes": sizes.nodes_here,
