--- a/bench/page.py
+++ b/bench/page.py
@@ -48,17 +48,17 @@
 def render(slopes: Slopes) -> str:
     """Returns the page."""
     sizes = target.Sizes()
-    rows = target.compute_rows(slopes, sizes)
+    rows = target.compute_requirements(slopes, sizes)
     roles = target.compute_roles(slopes, sizes)
     parts = [
         _INTRO,
         "## The letter's target, line by line\n",
         _table(
             ["asked", "what the slopes give", "margin", "mechanism"],
-            [[r.asked, r.given, r.margin, r.mechanism] for r in rows],
+            [[r.text, r.given, r.margin, r.mechanism] for r in rows],
         ),
         "\n## Shortfalls, and what would close them\n",
-        "\n".join(f"- {r.asked}: {r.close}" for r in rows if r.close),
+        "\n".join(f"- {r.text}: {r.remedy}" for r in rows if r.remedy),
         "\n\n## Each role at that size\n",
         _table(
             ["role", "state", "messages", "processor", "memory", "mechanism"],
@@ -71,7 +71,7 @@
         _table(
             ["what fails", "load", "messages", "time to recover"],
             [
-                [f.what, f.load, f.messages, f.recovery]
+                [f.cause, f.load, f.messages, f.recovery]
                 for f in target.compute_failures(slopes, sizes)
             ],
         ),
--- a/bench/target.py
+++ b/bench/target.py
@@ -11,8 +11,8 @@
 from egretspur.membership import actor as members
 
 DAY_S: Final = 86_400.0
-PERIOD_S: Final = settings.PeerSettings().period_s
-ENTRIES: Final = settings.PeerSettings().entries
+EXCHANGE_PERIOD_S: Final = settings.PeerSettings().period_s
+ENTRIES_PER_UPDATE: Final = settings.PeerSettings().entries
 # Records of one change: intent, plan, confirmation, prepared, and one spare.
 RECORDS_PER_CHANGE: Final = 5
 # Chains that a change adds; most changes only bind a workspace to existing
@@ -21,18 +21,18 @@
 # Lease records have a fixed size, below a tenth of a change's records.
 LEASE_KB: Final = 0.25
 # A holder renews its lease after half of the lease duration.
-RENEW_S: Final = settings.LeaseSettings().duration_s / 2
+LEASE_RENEWAL_S: Final = settings.LeaseSettings().duration_s / 2
 FAN_OUT: Final = members.PUSH_FAN_OUT
-LOG_APPENDS_S: Final = 300.0
+LOG_APPENDS_PER_S: Final = 300.0
 CLAIM_SHARE: Final = 0.02
 FLUSH_S: Final = claim_actor.FLUSH_S
 APPEND_S: Final = 0.004
-CPU_BUDGET: Final = 0.033
+CPU_BUDGET_CORES: Final = 0.033
 MEMORY_BUDGET_MB: Final = 32.0
-BYTES_BUDGET_KB: Final = 10.0
+TRAFFIC_BUDGET_KB_PER_S: Final = 10.0
 
 
-class Line(Protocol):
+class FittedLine(Protocol):
     """A line fitted to a measured slope."""
 
     def predict(self, size: float) -> float:
@@ -47,10 +47,10 @@
         """Value at size 0."""
 
 
-class Lines(Protocol):
+class FittedLines(Protocol):
     """Fitted lines by the slope's name."""
 
-    def __getitem__(self, name: str, /) -> Line:
+    def __getitem__(self, name: str, /) -> FittedLine:
         """Returns the line of a slope."""
 
 
@@ -74,29 +74,29 @@
     restarts_day: float = 700.0
 
     @property
-    def nodes_here(self) -> int:
+    def nodes_per_data_centre(self) -> int:
         """Entry hosts of one data centre."""
         return -(-self.nodes // self.data_centres)
 
     @property
-    def replicas_here(self) -> int:
+    def replicas_per_data_centre(self) -> int:
         """Replicas of one data centre."""
         return self.replicas // self.data_centres
 
     @property
-    def requests_node(self) -> float:
+    def requests_per_node_s(self) -> float:
         """Requests per second at one node."""
         return self.requests_s / self.nodes
 
     @property
-    def events_node(self) -> float:
+    def events_per_node_s(self) -> float:
         """Token events per second at one node."""
         return self.tokens_s / self.nodes
 
     @property
-    def streams_node(self) -> float:
+    def streams_per_node(self) -> float:
         """Open streams at one node, at 20 tokens a second each."""
-        return self.events_node / 20.0
+        return self.events_per_node_s / 20.0
 
     @property
     def records_s(self) -> float:
@@ -107,7 +107,7 @@
     @property
     def leases_s(self) -> float:
         """Lease records a second, of all data centres."""
-        return self.data_centres / RENEW_S
+        return self.data_centres / LEASE_RENEWAL_S
 
     @property
     def claims_s(self) -> float:
@@ -116,15 +116,15 @@
 
 
 @attrs.frozen
-class Row:
+class Requirement:
     """One requirement of the target, and how far the slopes meet it."""
 
-    asked: str
+    text: str
     given: str
     margin: str
     mechanism: str
     # Change that would meet the requirement; empty if it is met.
-    close: str = ""
+    remedy: str = ""
 
 
 @attrs.frozen
@@ -143,37 +143,39 @@
 class Failure:
     """Load, messages and recovery time that a failure causes."""
 
-    what: str
+    cause: str
     load: str
     messages: str
     recovery: str
 
 
-def compute_relay_cores(lines: Lines, sizes: Sizes) -> float:
+def compute_relay_cores(lines: FittedLines, sizes: Sizes) -> float:
     """Returns the cores that a node needs to relay its token events."""
-    return lines["router_cpu_by_events"].slope * sizes.events_node
+    return lines["router_cpu_by_events"].slope * sizes.events_per_node_s
 
 
-def compute_control_cpu(lines: Lines, sizes: Sizes) -> float:
+def compute_control_cpu(lines: FittedLines, sizes: Sizes) -> float:
     """Returns the cores that a control daemon uses."""
-    idle = lines["control_cpu_by_nodes"].predict(sizes.nodes_here)
+    idle = lines["control_cpu_by_nodes"].predict(sizes.nodes_per_data_centre)
     folding = lines["control_cpu_by_records"].slope * sizes.records_s
     changes = sizes.changes_day / DAY_S
-    tables = lines["table_make_seconds"].predict(sizes.replicas_here)
+    tables = lines["table_make_seconds"].predict(sizes.replicas_per_data_centre)
     return idle + folding + changes * tables
 
 
-def compute_control_memory(lines: Lines, sizes: Sizes) -> float:
+def compute_control_memory(lines: FittedLines, sizes: Sizes) -> float:
     """Returns the memory of a control daemon in megabytes."""
-    base = lines["control_memory_by_nodes"].predict(sizes.nodes_here)
+    base = lines["control_memory_by_nodes"].predict(sizes.nodes_per_data_centre)
     state = lines["state_memory_by_workspaces"].predict(sizes.workspaces)
-    remote = sizes.replicas - sizes.replicas_here
+    remote = sizes.replicas - sizes.replicas_per_data_centre
     remote_state = lines["state_memory_by_replicas"].slope * remote
-    hosts = lines["hosts_memory_by_replicas"].predict(sizes.replicas_here)
+    hosts = lines["hosts_memory_by_replicas"].predict(
+        sizes.replicas_per_data_centre
+    )
     return base + state + remote_state + hosts
 
 
-def compute_control_bytes(lines: Lines, sizes: Sizes) -> float:
+def compute_control_traffic(lines: FittedLines, sizes: Sizes) -> float:
     """Returns KB a second of a control daemon, sent and received.
 
     A host starts one exchange a period and answers one on average: two calls
@@ -181,9 +183,9 @@
     receives as many, and pulls and serves the change's records once. Leases
     come with the exchange; their records are pulled and served once.
     """
-    body = lines["message_size"].predict(ENTRIES)
+    body = lines["message_size"].predict(ENTRIES_PER_UPDATE)
     head = lines["wire_size"].intercept
-    exchanges = 2 * (2 * body + head) / PERIOD_S
+    exchanges = 2 * (2 * body + head) / EXCHANGE_PERIOD_S
     changes = sizes.changes_day / DAY_S
     pushes = changes * RECORDS_PER_CHANGE * 2 * FAN_OUT * head
     size = lines["change_size"].predict(CHAINS_PER_CHANGE)
@@ -192,7 +194,7 @@
     return exchanges + pushes + records + leases
 
 
-def compute_spread(lines: Lines, sizes: Sizes) -> float:
+def compute_propagation_s(lines: FittedLines, sizes: Sizes) -> float:
     """Returns seconds from a confirmation until it is in force on all hosts.
 
     Sums up the append and read-back, the hops of the pushes through a data
@@ -201,13 +203,13 @@
     """
     hops = 0
     reached = 1.0
-    while reached < sizes.nodes_here:
+    while reached < sizes.nodes_per_data_centre:
         reached *= FAN_OUT
         hops += 1
     hop = 0.05 + lines["control_cpu_by_records"].slope
-    table = lines["table_make_seconds"].predict(sizes.replicas_here)
-    table += lines["table_take_seconds"].predict(sizes.replicas_here)
-    return 0.1 + hops * hop + PERIOD_S + table
+    table = lines["table_make_seconds"].predict(sizes.replicas_per_data_centre)
+    table += lines["table_take_seconds"].predict(sizes.replicas_per_data_centre)
+    return 0.1 + hops * hop + EXCHANGE_PERIOD_S + table
 
 
 def compute_appends(sizes: Sizes) -> float:
@@ -216,42 +218,43 @@
     return sizes.records_s + flushes * sizes.data_centres
 
 
-def compute_rows(lines: Lines, sizes: Sizes) -> list[Row]:
-    """Returns a row for each requirement of the target."""
+def compute_requirements(lines: FittedLines, sizes: Sizes) -> list[Requirement]:
+    """Returns the requirements of the target with their estimates."""
     cpu = compute_control_cpu(lines, sizes)
     memory = compute_control_memory(lines, sizes)
-    sent = compute_control_bytes(lines, sizes)
+    sent = compute_control_traffic(lines, sizes)
     relay = compute_relay_cores(lines, sizes)
-    requests = lines["router_cpu_by_requests"].slope * sizes.requests_node
+    requests = lines["router_cpu_by_requests"].slope * sizes.requests_per_node_s
     processes = -(-(relay + requests) // 0.7)
-    streams = sizes.streams_node / processes
+    streams = sizes.streams_per_node / processes
     router_mb = lines["router_memory_by_streams"].predict(streams)
     first = lines["router_first_token_p95"].predict(
-        sizes.requests_node / processes
+        sizes.requests_per_node_s / processes
     )
     delay = lines["router_delay_by_streams"].predict(streams)
-    spread = compute_spread(lines, sizes)
+    propagation_s = compute_propagation_s(lines, sizes)
     appends = compute_appends(sizes)
-    choice = lines["choice_seconds"].predict(sizes.replicas_here)
+    choice = lines["choice_seconds"].predict(sizes.replicas_per_data_centre)
     plan = lines["plan_seconds"].predict(sizes.replicas)
     state = lines["state_memory_by_workspaces"].predict(sizes.workspaces)
     return [
-        Row(
+        Requirement(
             f"{sizes.nodes} nodes before {sizes.replicas:,} replicas on"
             f" {sizes.accelerators:,} accelerators",
-            f"{sizes.nodes_here} nodes and {sizes.replicas_here} replicas a"
-            f" data centre; a choice takes {choice * 1e6:.0f} us"
+            f"{sizes.nodes_per_data_centre} nodes and"
+            f" {sizes.replicas_per_data_centre} replicas a data centre;"
+            f" a choice takes {choice * 1e6:.0f} us"
             " (`choice_seconds`), a plan over all replicas"
             f" {plan:.1f} s (`plan_seconds`)",
             f"{200 / (choice * 1e6):.1f} x under 200 us;"
             f" {10 / plan:.0f} x under 10 s",
             "state by data centre; two sampled paths; racks tried once",
         ),
-        Row(
+        Requirement(
             f"{sizes.requests_s:,.0f} requests and"
             f" {sizes.tokens_s / 1e6:.1f} M tokens a second",
-            f"{sizes.requests_node:.0f} requests/s and"
-            f" {sizes.events_node:,.0f} events/s a node:"
+            f"{sizes.requests_per_node_s:.0f} requests/s and"
+            f" {sizes.events_per_node_s:,.0f} events/s a node:"
             f" {relay + requests:.2f} cores (`router_cpu_by_events`,"
             f" `router_cpu_by_requests`) in {processes:.0f} router processes"
             f" of {router_mb:.0f} MB (`router_memory_by_streams`)",
@@ -261,7 +264,7 @@
             f" {processes:.0f} run on a host, behind the balancer like so many"
             " hosts; the slope of events is used beyond its range, see below",
         ),
-        Row(
+        Requirement(
             f"first token within {sizes.first_token_s} s for 95 in 100",
             f"the router's share at p95: {first:.0f} ms"
             " (`router_first_token_p95`)",
@@ -269,7 +272,7 @@
             "admission in one message; refusal at once when the deadline"
             " can't be met",
         ),
-        Row(
+        Requirement(
             f"{sizes.between_tokens_s * 1000:.0f} ms between tokens for 95 in"
             " 100",
             f"the router adds {delay:.1f} ms at p95"
@@ -280,55 +283,55 @@
             f"{sizes.between_tokens_s * 1000 - delay:.0f} ms; shorter rounds"
             " trade CPU for delay, see docs/design/relay.md",
         ),
-        Row(
+        Requirement(
             "7 kinds of accelerators, links a hundredfold apart",
             "speed and link of each host enter the split and the choice",
             "-",
             "max-min split; cost by speed; slowness per link",
         ),
-        Row(
+        Requirement(
             f"{sizes.workspaces:,} workspaces and {sizes.models} models",
             f"{state:.1f} MB of state (`state_memory_by_workspaces`)",
             "see memory below",
             "bindings share deployments",
         ),
-        Row(
+        Requirement(
             "3 regions with 7 data centres",
             "no message but the log's and one exchange in five leaves a data"
             " centre",
             "-",
             "followers per data centre; one lease each",
         ),
-        Row(
+        Requirement(
             f"{sizes.changes_day:,.0f} changes a day, in force within"
             f" {sizes.change_s:.0f} s",
-            f"{spread:.1f} s at worst (`control_cpu_by_records`,"
+            f"{propagation_s:.1f} s at worst (`control_cpu_by_records`,"
             " `table_make_seconds`, `table_take_seconds`);"
             f" {sizes.records_s:.1f} records/s",
-            f"{sizes.change_s - spread:.1f} s",
+            f"{sizes.change_s - propagation_s:.1f} s",
             "pushes to 3 peers, exchange every 2 s, log as fallback",
         ),
-        Row(
+        Requirement(
             "several hundred appends a second for all",
             f"{appends:.0f} appends/s: configuration and leases"
             f" {sizes.records_s:.1f}, claims {appends - sizes.records_s:.0f}"
             f" for {sizes.claims_s * sizes.data_centres:.0f} claims/s",
-            f"{LOG_APPENDS_S - appends:+.0f} of {LOG_APPENDS_S:.0f}",
+            f"{LOG_APPENDS_PER_S - appends:+.0f} of {LOG_APPENDS_PER_S:.0f}",
             "claims in batches by partition owner",
             ""
-            if appends <= LOG_APPENDS_S
+            if appends <= LOG_APPENDS_PER_S
             else "a longer flush of claims: 0.1 s instead of 0.02 s bounds"
             " them at a fifth and adds 50 ms to such a call",
         ),
-        Row(
+        Requirement(
             "control: 3.3% of a core",
             f"{cpu:.2%} (`control_cpu_by_nodes`, `control_cpu_by_records`,"
             " `table_make_seconds`)",
-            f"{(CPU_BUDGET - cpu) * 100:+.2f} points",
+            f"{(CPU_BUDGET_CORES - cpu) * 100:+.2f} points",
             "tables only on change; bounded messages; slow audit of engines",
-            "" if cpu <= CPU_BUDGET else "fewer wake-ups of idle threads",
+            "" if cpu <= CPU_BUDGET_CORES else "fewer wake-ups of idle threads",
         ),
-        Row(
+        Requirement(
             "control: 32 MB",
             f"{memory:.1f} MB (`control_memory_by_nodes`,"
             " `state_memory_by_workspaces`, `state_memory_by_replicas`,"
@@ -342,16 +345,16 @@
             " `plan show` only), and the records decoded without the general"
             " converter",
         ),
-        Row(
+        Requirement(
             "control: 10 KB a second",
             f"{sent:.1f} KB/s (`message_size`, `wire_size`, `change_size`)",
-            f"{BYTES_BUDGET_KB - sent:+.1f} KB/s",
+            f"{TRAFFIC_BUDGET_KB_PER_S - sent:+.1f} KB/s",
             "24 entries a message whatever the number of nodes",
             ""
-            if sent <= BYTES_BUDGET_KB
+            if sent <= TRAFFIC_BUDGET_KB_PER_S
             else "a longer period of the exchange",
         ),
-        Row(
+        Requirement(
             f"{sizes.failures_day:.0f} failures and"
             f" {sizes.restarts_day:.0f} restarts a day",
             f"one host event every"
@@ -362,39 +365,44 @@
     ]
 
 
-def compute_roles(lines: Lines, sizes: Sizes) -> list[RoleRow]:
+def compute_roles(lines: FittedLines, sizes: Sizes) -> list[RoleRow]:
     """Returns the resource use of each role."""
-    rows = {r.asked: r for r in compute_rows(lines, sizes)}
-    router = next(r for a, r in rows.items() if "requests and" in a)
+    requirements = compute_requirements(lines, sizes)
+    router = next(r for r in requirements if "requests and" in r.text)
     folds = lines["fold_seconds"].slope
-    poll = lines["message_seconds"].predict(ENTRIES)
+    poll = lines["message_seconds"].predict(ENTRIES_PER_UPDATE)
     checkpoint = lines["checkpoint_seconds"].predict(sizes.workspaces)
     size = lines["checkpoint_size"].predict(sizes.workspaces)
-    owned = sizes.claims_s / sizes.nodes_here
+    owned = sizes.claims_s / sizes.nodes_per_data_centre
     claim_cpu = lines["claims_cpu"].predict(
         sizes.claims_s / claim_actor.PARTITIONS
     )
-    engines = sizes.replicas_here * 4
-    table = lines["table_size"].predict(sizes.replicas_here)
-    take = lines["table_take_seconds"].predict(sizes.replicas_here)
+    engines = sizes.replicas_per_data_centre * 4
+    table = lines["table_size"].predict(sizes.replicas_per_data_centre)
+    apply = lines["table_take_seconds"].predict(sizes.replicas_per_data_centre)
+    plan = lines["plan_seconds"].predict(sizes.replicas_per_data_centre)
+    hosts = lines["hosts_memory_by_replicas"].predict(
+        sizes.replicas_per_data_centre
+    )
     changes = sizes.changes_day / DAY_S
     return [
         RoleRow(
             "router",
             f"table of its data centre, {table:.0f} KB; "
-            f"{sizes.streams_node:.0f} streams a node",
-            f"{sizes.requests_node:.0f} requests/s,"
-            f" {sizes.events_node:,.0f} events/s; one report a second to its"
-            " control daemon",
+            f"{sizes.streams_per_node:.0f} streams a node",
+            f"{sizes.requests_per_node_s:.0f} requests/s,"
+            f" {sizes.events_per_node_s:,.0f} events/s; one report a second to"
+            " its control daemon",
             f"{router.given.split('a node: ')[1].split(' (')[0]};"
-            f" {changes * take:.2%} of a core for tables",
+            f" {changes * apply:.2%} of a core for tables",
             "see the row above",
             "pump, dispatcher in one actor",
         ),
         RoleRow(
             "control daemon",
             "the folded configuration, entries of its data centre",
-            f"{1 / PERIOD_S:.1f} exchanges/s, {poll * 1e3:.2f} ms each",
+            f"{1 / EXCHANGE_PERIOD_S:.1f} exchanges/s,"
+            f" {poll * 1e3:.2f} ms each",
             f"{compute_control_cpu(lines, sizes):.2%} of a core",
             f"{compute_control_memory(lines, sizes):.1f} MB",
             "see the rows above",
@@ -403,7 +411,7 @@
             "lease holder (one a data centre)",
             f"status of {engines:,} engines, filled by the audit",
             "5 engines/s audited, 2/s for each with an order under way;"
-            f" a lease record every {RENEW_S:.0f} s",
+            f" a lease record every {LEASE_RENEWAL_S:.0f} s",
             f"a whole audit takes {engines / 5 / 60:.1f} min",
             "in the control daemon's",
             "level-triggered comparison; lease by log offset",
@@ -437,10 +445,8 @@
             "planner",
             "one plan at a time, dropped after it",
             f"{changes:.2f} plans/s over all nodes",
-            f"{lines['plan_seconds'].predict(sizes.replicas_here):.2f} s for"
-            " a data centre's replicas (`plan_seconds`)",
-            f"{lines['hosts_memory_by_replicas'].predict(sizes.replicas_here):.1f}"
-            " MB of hosts (`hosts_memory_by_replicas`)",
+            f"{plan:.2f} s for a data centre's replicas (`plan_seconds`)",
+            f"{hosts:.1f} MB of hosts (`hosts_memory_by_replicas`)",
             "runs in the daemon that was asked",
         ),
         RoleRow(
@@ -454,12 +460,12 @@
     ]
 
 
-def compute_failures(lines: Lines, sizes: Sizes) -> list[Failure]:
+def compute_failures(lines: FittedLines, sizes: Sizes) -> list[Failure]:
     """Returns the effects of each kind of failure."""
-    choice = lines["choice_seconds"].predict(sizes.replicas_here)
-    spread = compute_spread(lines, sizes)
-    streams = sizes.streams_node * sizes.nodes / sizes.replicas
-    here = sizes.streams_node * sizes.nodes_here
+    choice = lines["choice_seconds"].predict(sizes.replicas_per_data_centre)
+    propagation_s = compute_propagation_s(lines, sizes)
+    streams = sizes.streams_per_node * sizes.nodes / sizes.replicas
+    here = sizes.streams_per_node * sizes.nodes_per_data_centre
     others = sizes.data_centres - 1
     return [
         Failure(
@@ -472,11 +478,11 @@
         ),
         Failure(
             "an entry host",
-            f"its {sizes.streams_node:.0f} streams break and are the"
+            f"its {sizes.streams_per_node:.0f} streams break and are the"
             " callers' to repeat",
             "its entries lapse in 20 s; its partitions of claims move",
             "none for others; a lease it held after"
-            f" {compute_takeover():.1f} s",
+            f" {compute_takeover_s():.1f} s",
         ),
         Failure(
             f"{sizes.restarts_day:.0f} restarts a day",
@@ -486,9 +492,9 @@
         ),
         Failure(
             "a rack or a switch",
-            f"about {32 / 4:.0f} replicas of {sizes.replicas_here}:"
-            f" {32 / 4 / sizes.replicas_here:.1%} of the data centre's"
-            " streams resume at once",
+            f"about {32 / 4:.0f} replicas of {sizes.replicas_per_data_centre}:"
+            f" {32 / 4 / sizes.replicas_per_data_centre:.1%} of the data"
+            " centre's streams resume at once",
             "up to 32 repairs: 64 records",
             "as an engine; loads share the weight store by priority",
         ),
@@ -505,12 +511,12 @@
             "none: a data centre serves by its own hosts and last"
             " configuration",
             "no exchange across; on rejoining one pull a host",
-            f"{spread:.1f} s after the log is reached again",
+            f"{propagation_s:.1f} s after the log is reached again",
         ),
     ]
 
 
-def compute_takeover() -> float:
+def compute_takeover_s() -> float:
     """Returns seconds from a holder's crash to its successor's first order."""
     lease = settings.LeaseSettings()
     return lease.duration_s + lease.margin_s + lease.flight_s
@@ -520,28 +526,28 @@
     """Returns the size at which the page evaluates a slope."""
     per_process = 2.0
     special = {
-        "control_cpu_by_nodes": sizes.nodes_here,
-        "control_memory_by_nodes": sizes.nodes_here,
-        "control_bytes_by_nodes": sizes.nodes_here,
+        "control_cpu_by_nodes": sizes.nodes_per_data_centre,
+        "control_memory_by_nodes": sizes.nodes_per_data_centre,
+        "control_bytes_by_nodes": sizes.nodes_per_data_centre,
         "control_cpu_by_records": round(sizes.records_s, 2),
-        "router_cpu_by_events": round(sizes.events_node),
-        "router_memory_by_streams": round(sizes.streams_node / per_process),
-        "router_delay_by_streams": round(sizes.streams_node / per_process),
-        "router_cpu_by_requests": round(sizes.requests_node),
-        "router_first_token_p95": round(sizes.requests_node),
+        "router_cpu_by_events": round(sizes.events_per_node_s),
+        "router_memory_by_streams": round(sizes.streams_per_node / per_process),
+        "router_delay_by_streams": round(sizes.streams_per_node / per_process),
+        "router_cpu_by_requests": round(sizes.requests_per_node_s),
+        "router_first_token_p95": round(sizes.requests_per_node_s),
         "claims_cpu": round(sizes.claims_s / claim_actor.PARTITIONS, 2),
         "claims_appends": round(sizes.claims_s / claim_actor.PARTITIONS, 2),
         "state_memory_by_replicas": sizes.replicas,
         "plan_seconds": sizes.replicas,
         "choice_seconds_by_stages": 4,
-        "message_size": ENTRIES,
+        "message_size": ENTRIES_PER_UPDATE,
         "wire_size": 2.5,
         "change_size": CHAINS_PER_CHANGE,
-        "message_seconds": ENTRIES,
+        "message_seconds": ENTRIES_PER_UPDATE,
         "fold_seconds": 1,
         "state_memory_by_models": sizes.models,
         "checkpoint_seconds": sizes.workspaces,
         "checkpoint_size": sizes.workspaces,
         "state_memory_by_workspaces": sizes.workspaces,
     }
-    return float(special.get(name, sizes.replicas_here))
+    return float(special.get(name, sizes.replicas_per_data_centre))
