--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of the relay, against the plain baseline."""
+"""Compares processor time and memory of the router with a plain relay."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Cost:
-    """What a relaying process used."""
+    """Processor time and memory that a relaying process used."""
 
     streams: int
     events_per_s: float
@@ -28,14 +28,14 @@
 
 
 def measure(process: stage.Process, streams: int, seconds: float) -> Cost:
-    """Opens streams through a process and measures it."""
-    taken = sink.Sink(process.address, streams, "/v1/completions")
-    taken.count(WARM_S + streams / 100)
+    """Opens streams through a process and measures its resource use."""
+    reader = sink.Sink(process.address, streams, "/v1/completions")
+    reader.count(WARM_S + streams / 100)
     before = figures.read_cpu_s(process.popen.pid)
-    counted = taken.count(seconds)
+    counted = reader.count(seconds)
     used = figures.read_cpu_s(process.popen.pid) - before
     rss = figures.read_rss_mb(process.popen.pid)
-    taken.close()
+    reader.close()
     time.sleep(0.5)
     return Cost(
         streams,
@@ -50,7 +50,7 @@
 def start_router(
     play: scene.Scene, slots: int, events_per_s: float = EVENTS_PER_S
 ) -> stage.Process:
-    """Starts a router before one two-stage chain of cheap sources."""
+    """Starts a router and one chain whose two stages are one event source."""
     play.start_platform()
     source = play.start(
         "source", "bench.source", "--events-per-s", str(events_per_s)
@@ -78,7 +78,7 @@
 
 
 def bind(play: scene.Scene) -> None:
-    """Writes a deployment straight into the log; the sources hold all."""
+    """Appends a deployment to the log; the source serves all its layers."""
     deployment = {
         "id": "p.kl-hall",
         "model": scene.MODEL,
@@ -103,9 +103,9 @@
 def write_binding(
     play: scene.Scene, workspace: str, deployments: list[dict[str, object]]
 ) -> None:
-    """Writes intent, plan, confirmation and loads as records."""
+    """Appends the records that put a plan in force without loading layers."""
     names = [d["id"] for d in deployments]
-    sign = {"by": "bench", "at_ms": 0}
+    author = {"by": "bench", "at_ms": 0}
     findings = {
         "before_tokens_per_s": 0.0,
         "after_tokens_per_s": 1.0,
@@ -132,7 +132,7 @@
             "type": "IntentCreated",
             "id": f"r1-{workspace}",
             "intent": intent,
-            **sign,
+            **author,
         },
         {
             "type": "PlanMade",
@@ -151,13 +151,13 @@
                 "limit": 0,
             },
             "findings": findings,
-            **sign,
+            **author,
         },
         {
             "type": "PlanConfirmed",
             "id": f"r3-{workspace}",
             "plan_id": plan_id,
-            **sign,
+            **author,
         },
         {
             "type": "LeaseTaken",
@@ -166,11 +166,12 @@
             "holder": "bench",
             "duration_s": 600.0,
             "expects": 0,
-            **sign,
+            **author,
         },
     ]
     found = play.call("POST", "log", "/streams/config", {"records": records})
-    # The lease may have been taken before; whoever holds it reports.
+    # Another holder may have the lease already; a Prepared record counts only
+    # with the fence of the lease in force, so one is written for each lease.
     offset = found["offset"] + 3
     status = play.call("GET", "log", "/streams/config?limit=500")
     leases = [o for o, r in status["records"] if r["type"] == "LeaseTaken"]
@@ -181,7 +182,7 @@
             "plan_id": plan_id,
             "data_centre": "kl-hall",
             "fence": fence,
-            **sign,
+            **author,
         }
         for fence in {offset, *leases}
     ]
@@ -190,11 +191,11 @@
 
 
 def run(streams: int = 200, seconds: float = 5.0) -> tuple[Cost, Cost]:
-    """Measures the router and the plain relay under one load."""
+    """Measures the router and the plain relay under the same load."""
     play = scene.Scene()
     try:
         router = start_router(play, streams + 50)
-        ours = measure(router, streams, seconds)
+        router_cost = measure(router, streams, seconds)
         plain = play.start(
             "plain",
             "bench.plain",
@@ -203,19 +204,19 @@
             "--threads",
             str(streams + 20),
         )
-        return ours, measure(plain, streams, seconds)
+        return router_cost, measure(plain, streams, seconds)
     finally:
         play.close()
 
 
 def main() -> None:
-    """Prints the figures."""
+    """Measures and prints the figures."""
     figures.say("relay: 200 streams at 20 events/s")
-    ours, plain = run()
+    router, plain = run()
     figures.emit(
         figures.Figure(
             "cpu_per_relayed_event",
-            ours.cpu_s_per_event * 1000,
+            router.cpu_s_per_event * 1000,
             "ms",
             "urllib3 to waitress, nothing checked",
             plain.cpu_s_per_event * 1000,
@@ -224,10 +225,10 @@
     figures.emit(
         figures.Figure(
             "relayed_events",
-            ours.events_per_s,
+            router.events_per_s,
             "events/s",
             "offered",
-            ours.offered_per_s,
+            router.offered_per_s,
         )
     )
 
