--- a/bench/relay.py
+++ b/bench/relay.py
@@ -11,7 +11,7 @@
 from tests import scene, stage
 
 EVENTS_PER_S: Final = 20.0
-WARM_S: Final = 1.5
+WARM_UP_S: Final = 1.5
 
 
 @attrs.frozen
@@ -30,7 +30,7 @@
 def measure(process: stage.Process, streams: int, seconds: float) -> Cost:
     """Opens streams through a process and measures its resource use."""
     reader = sink.Sink(process.address, streams, "/v1/completions")
-    reader.count(WARM_S + streams / 100)
+    reader.count(WARM_UP_S + streams / 100)
     before = figures.read_cpu_s(process.popen.pid)
     counted = reader.count(seconds)
     used = figures.read_cpu_s(process.popen.pid) - before
@@ -73,11 +73,11 @@
         "timing": {"between_events_s": 10.0, "first_event_s": 10.0},
     }
     play.start_entry("kl-1", "kl-hall")
-    bind(play)
+    put_in_force(play)
     return play.processes["kl-1-router"]
 
 
-def bind(play: scene.Scene) -> None:
+def put_in_force(play: scene.Scene) -> None:
     """Appends a deployment to the log; the source serves all its layers."""
     deployment = {
         "id": "p.kl-hall",
--- a/bench/saturation.py
+++ b/bench/saturation.py
@@ -1,4 +1,4 @@
-"""Throughput, overload and recovery over real processes and stand-ins."""
+"""Measures throughput, overload and recovery of routers on fake engines."""
 
 from __future__ import annotations
 
@@ -14,22 +14,23 @@
 ROUTERS: Final = 2
 TOKENS: Final = 20
 
-# Layers per second of the four chains' stages, two kinds each: slow enough
-# that the stand-ins take little of this machine.
-SPEEDS: Final = {"fast": 3200.0, "slow": 1600.0}
+# Layers per second of each kind of engine; two of the four chains are of each
+# kind. Slow enough that the fake engines use little of this machine's CPU.
+LAYERS_PER_S: Final = {"fast": 3200.0, "slow": 1600.0}
 
-# Ratio of the first-token time that still counts as prompt after a failure.
-PROMPT: Final = 1.5
-WINDOW_S: Final = 0.5
+# After a failure, load is recovered once p95 of the first token is within this
+# ratio of the value before it.
+RECOVERED_P95_RATIO: Final = 1.5
+P95_WINDOW_S: Final = 0.5
 
 
 @attrs.define
-class Bed:
-    """A scene with four chains of two stages, fast and slow."""
+class Testbed:
+    """A scene with four chains of two stages, two fast and two slow."""
 
     play: scene.Scene
-    # Tokens per second that the chains could deliver.
-    bound: float = 0.0
+    # Tokens per second that the chains can deliver at most.
+    bound_tokens_per_s: float = 0.0
 
     @property
     def addresses(self) -> list[str]:
@@ -40,9 +41,9 @@
         ]
 
 
-def start_bed(limit: int = 0) -> Bed:
-    """Starts the scene with three workspaces of unlike priority."""
-    scene.KINDS.update(SPEEDS)
+def start_testbed(limit: int = 0) -> Testbed:
+    """Starts the scene with three workspaces, one of higher priority."""
+    scene.KINDS.update(LAYERS_PER_S)
     play = scene.Scene()
     play.router_cfg = {
         "limits": {"streams": 400, "queue_length": 64},
@@ -59,7 +60,7 @@
             play.start_engine(f"{rack}-{part}", "kl-hall", kind, 16, rack, 8)
     for number in range(1, ROUTERS + 1):
         play.start_entry(f"kl-{number}", "kl-hall")
-    bed = Bed(play, sum(2 * s / 16 for s in SPEEDS.values()))
+    testbed = Testbed(play, sum(2 * s / 16 for s in LAYERS_PER_S.values()))
     stage.wait_until(
         lambda: play.call("GET", "kl-1", "/v1/status")["leases"], 30, "lease"
     )
@@ -72,46 +73,48 @@
             priority=priority,
             limit=limit if workspace == "large" else 0,
         )
-    return bed
+    return testbed
 
 
-def run_saturation(bed: Bed, factor: float, seconds: float) -> load.Result:
-    """Sends a multiple of the bound."""
-    rate = factor * bed.bound / TOKENS
+def run_saturation(
+    testbed: Testbed, factor: float, seconds: float
+) -> load.Result:
+    """Sends requests at a multiple of the bound."""
+    rate = factor * testbed.bound_tokens_per_s / TOKENS
     shape = load.Shape(
         rate,
         seconds,
         (("large", 0.8), ("small", 0.1), ("urgent", 0.1)),
         TOKENS,
     )
-    return load.run_load(bed.addresses, shape)
+    return load.run_load(testbed.addresses, shape)
 
 
-def measure_share(bed: Bed, factor: float) -> float:
-    """Returns the share of the bound that is delivered at so much load."""
+def measure_share(testbed: Testbed, factor: float) -> float:
+    """Returns the delivered share of the bound at a multiple of the bound."""
     seconds = 12.0
-    result = run_saturation(bed, factor, seconds)
+    result = run_saturation(testbed, factor, seconds)
     done = result.count_tokens(2.0, seconds) / (seconds - 2.0)
-    return done / bed.bound
+    return done / testbed.bound_tokens_per_s
 
 
-def emit_saturation(bed: Bed) -> None:
-    """Throughput at the bound, and goodput at three times it."""
+def emit_saturation(testbed: Testbed) -> None:
+    """Prints throughput at 1.2 times the bound and goodput at 3 times."""
     figures.say("throughput at 1.2 times the bound")
     figures.emit(
         figures.Figure(
             "throughput_share_of_bound",
-            measure_share(bed, 1.2),
+            measure_share(testbed, 1.2),
             "share",
             "bound, tokens/s",
-            bed.bound,
+            testbed.bound_tokens_per_s,
         )
     )
     figures.say("goodput at three times the bound")
     figures.emit(
         figures.Figure(
             "goodput_share_at_3x",
-            measure_share(bed, 3.0),
+            measure_share(testbed, 3.0),
             "share",
             "throughput wanted",
             0.85,
@@ -119,23 +122,26 @@
     )
 
 
-def emit_recovery(bed: Bed) -> None:
-    """One of four replicas dies under 80% load."""
+def emit_recovery(testbed: Testbed) -> None:
+    """Prints the recovery after one of four replicas crashes at 80% load."""
     figures.say("recovery after one of four replicas dies")
     seconds, kill_at = 14.0, 6.0
-    killer = threading.Timer(kill_at, bed.play.processes["r3-a"].kill)
+    killer = threading.Timer(kill_at, testbed.play.processes["r3-a"].kill)
     killer.start()
-    # 80% of what is left would be more than the rest can take; the load is
-    # 80% of the four, as the issue asks, and the rest carries 96% of its own.
-    result = run_saturation(bed, 0.8, seconds)
+    # The load is 80% of the bound of all four replicas. The three that remain
+    # then carry 96% of their own bound.
+    result = run_saturation(testbed, 0.8, seconds)
     before = get_p95(result, 1.0, kill_at)
     recovered = seconds - kill_at
     start = kill_at
-    while start + WINDOW_S <= seconds:
-        if get_p95(result, start, start + WINDOW_S) <= PROMPT * before:
+    while start + P95_WINDOW_S <= seconds:
+        if (
+            get_p95(result, start, start + P95_WINDOW_S)
+            <= RECOVERED_P95_RATIO * before
+        ):
             recovered = start - kill_at
             break
-        start += WINDOW_S / 5
+        start += P95_WINDOW_S / 5
     figures.emit(
         figures.Figure(
             "recovery_s",
@@ -158,18 +164,18 @@
 
 
 def emit_limit() -> None:
-    """A workspace's limit over two routers, and with news of peers stopped."""
+    """Prints requests running at a limit, with and without peer updates."""
     figures.say("a workspace's limit over two routers")
     limit = 12
-    bed = start_bed(limit)
+    testbed = start_testbed(limit)
     try:
         for name, is_cut in (("together", False), ("cut off", True)):
             if is_cut:
                 for number in range(1, ROUTERS + 1):
-                    bed.play.processes[f"kl-{number}"].pause()
-                # Longer than news count as current.
+                    testbed.play.processes[f"kl-{number}"].pause()
+                # Longer than peer updates count as current.
                 time.sleep(4.0)
-            worst = watch_limit(bed)
+            worst = measure_peak_running(testbed)
             figures.emit(
                 figures.Figure(
                     f"running_at_limit ({name})",
@@ -180,19 +186,26 @@
                 )
             )
     finally:
-        bed.play.close()
+        testbed.play.close()
 
 
-def watch_limit(bed: Bed) -> int:
-    """Overloads the limited workspace; returns the most it ran at once."""
-    shape = load.Shape(3.0 * bed.bound / TOKENS, 5.0, (("large", 1.0),), TOKENS)
-    sender = threading.Thread(target=load.run_load, args=(bed.addresses, shape))
+def measure_peak_running(testbed: Testbed) -> int:
+    """Overloads the limited workspace; returns its peak of running requests."""
+    shape = load.Shape(
+        3.0 * testbed.bound_tokens_per_s / TOKENS,
+        5.0,
+        (("large", 1.0),),
+        TOKENS,
+    )
+    sender = threading.Thread(
+        target=load.run_load, args=(testbed.addresses, shape)
+    )
     sender.start()
     worst = 0
     while sender.is_alive():
         running = 0
         for number in range(1, ROUTERS + 1):
-            dump = bed.play.call("GET", f"kl-{number}-router", "/state")
+            dump = testbed.play.call("GET", f"kl-{number}-router", "/state")
             running += sum(dump["traffic"]["running"].values())
         worst = max(worst, running)
         time.sleep(0.1)
@@ -200,7 +213,10 @@
 
 
 def get_p95(result: load.Result, start_s: float, end_s: float) -> float:
-    """Returns p95 of the first token of requests sent in a window."""
+    """Returns p95 of the first-token time of requests sent in a window.
+
+    Requests that did not complete count as 60 s, as does an empty window.
+    """
     times = sorted(
         s.first_s if s.whole else 60.0
         for s in result.samples
@@ -210,14 +226,14 @@
 
 
 def run() -> None:
-    """Emits the figures."""
-    bed = start_bed()
+    """Measures and prints the figures."""
+    testbed = start_testbed()
     try:
-        emit_saturation(bed)
+        emit_saturation(testbed)
         time.sleep(1.0)
-        emit_recovery(bed)
+        emit_recovery(testbed)
     finally:
-        bed.play.close()
+        testbed.play.close()
     emit_limit()
 
 
