--- a/bench/main.py
+++ b/bench/main.py
@@ -1,4 +1,4 @@
-"""``make bench``: all figures as JSON lines, each beside its baseline."""
+"""``make bench``: prints all figures as JSON lines, each with a baseline."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def main() -> int:
-    """Runs every measurement."""
+    """Runs all measurements in turn."""
     emit_policies()
     emit_choice()
     emit_placement()
@@ -37,7 +37,7 @@
 
 
 def emit_policies() -> None:
-    """Route choice against simpler policies, the same arrivals for each."""
+    """Prints p95 of the route choice and of simpler policies on one load."""
     figures.say("routing policies")
     found = {n: policies.run(p) for n, p in policies.POLICIES.items()}
     ours = found["cheapest of two by speed"]
@@ -54,7 +54,7 @@
 
 
 def emit_choice() -> None:
-    """Cost of a choice."""
+    """Prints the duration of a route choice."""
     for replicas in choice.REPLICAS:
         figures.emit(
             figures.Figure(
@@ -68,14 +68,14 @@
 
 
 def emit_fleet() -> None:
-    """Policies of placement on the model of engines, at three loads."""
+    """Prints the results of policies on the engine model, at three loads."""
     figures.say("policies on the model of engines")
     loads = (1.0, 2.0, 3.0)
     fleet.emit(loads, fleet.compare(loads, fleet.POLICIES))
 
 
 def emit_placement() -> None:
-    """Joint rate of all chains, against the bound and an even split."""
+    """Prints all chains' joint rate over the bound, and an even split's."""
     hosts = [worlds.make_host(f"h{i}", i) for i in range(1484)]
     machines = planner.make_machines(hosts, worlds.make_spec("m"), "", {})
     pool = grouping.Pool(machines)
@@ -97,7 +97,7 @@
 
 
 def emit_fold() -> None:
-    """Records folded a second."""
+    """Prints the records folded a second."""
     slope = slopes.measure_fold((1600,))
     records, seconds = slope.points[0]
     figures.emit(
@@ -108,31 +108,31 @@
 
 
 def emit_in_force() -> None:
-    """Confirmation to in force in every router of eight nodes."""
+    """Prints seconds from confirmation to in force on routers of 8 nodes."""
     figures.say("confirmation to in force over 8 nodes in 2 data centres")
     play = scene.Scene()
     try:
         play.start_platform()
-        for place in ("kl-hall", "pg-hall"):
-            play.start_engine(f"{place[:2]}-a", place, "fast", 20)
-            play.start_engine(f"{place[:2]}-b", place, "slow", 16)
+        for data_centre in ("kl-hall", "pg-hall"):
+            play.start_engine(f"{data_centre[:2]}-a", data_centre, "fast", 20)
+            play.start_engine(f"{data_centre[:2]}-b", data_centre, "slow", 16)
         for number in range(NODES):
-            place = ("kl-hall", "pg-hall")[number % 2]
-            play.start_entry(f"{place[:2]}-{number}", place)
+            data_centre = ("kl-hall", "pg-hall")[number % 2]
+            play.start_entry(f"{data_centre[:2]}-{number}", data_centre)
         stage.wait_until(
             lambda: len(play.call("GET", "kl-0", "/v1/status")["leases"]) == 2,
             30,
         )
-        places = ["kl-hall", "pg-hall"]
-        play.put_in_force("kl-0", "first", places)
+        data_centres = ["kl-hall", "pg-hall"]
+        play.put_in_force("kl-0", "first", data_centres)
         times = []
         for number in range(5):
-            plan = play.make_intent("kl-0", f"w{number}", places)
-            begun = time.monotonic()
+            plan = play.make_intent("kl-0", f"w{number}", data_centres)
+            start = time.monotonic()
             code, _, err = play.run_cli("kl-0", "plan", "confirm", plan["id"])
             assert code == 0, err
             play.wait_active("kl-0", plan["id"])
-            times.append(time.monotonic() - begun)
+            times.append(time.monotonic() - start)
     finally:
         play.close()
     figures.emit(
@@ -143,7 +143,7 @@
 
 
 def emit_takeover() -> None:
-    """Time until a successor holds the lease of a dead holder."""
+    """Prints seconds until a successor holds a crashed holder's lease."""
     figures.say("takeover of the lease")
     play = scene.Scene()
     try:
@@ -159,9 +159,9 @@
         stage.wait_until(lambda: get_holder("kl-2"), 20)
         other = "kl-2" if holder == "kl-1" else "kl-1"
         play.processes[holder].kill()
-        begun = time.monotonic()
+        start = time.monotonic()
         stage.wait_until(lambda: get_holder(other) == other, 60)
-        took = time.monotonic() - begun
+        took = time.monotonic() - start
     finally:
         play.close()
     figures.emit(
--- a/bench/source.py
+++ b/bench/source.py
@@ -1,7 +1,7 @@
-"""A cheap source of token events, to load a router and nothing else.
+"""A fake engine that sends token events at little cost, to load a router.
 
 One thread answers every run with events at a fixed rate, so that a machine
-can hold hundreds of streams without spending its time on the stand-in.
+can hold hundreds of streams without spending its CPU on the fake engine.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @attrs.define
 class Stream:
-    """One open run."""
+    """The state of one open run."""
 
     sock: socket.socket
     request: str
@@ -35,7 +35,7 @@
 
 
 class Source:
-    """Accepts runs and sends their events."""
+    """Accepts runs and sends their token events."""
 
     def __init__(self, events_per_s: float) -> None:
         self._pause = 1.0 / events_per_s
@@ -49,7 +49,7 @@
         self.address = f"{host}:{port}"
 
     def run(self) -> None:
-        """Serves for ever."""
+        """Serves until the process ends."""
         while True:
             for key, _ in self._selector.select(TICK_S):
                 if key.data is None:
@@ -93,20 +93,21 @@
         if not head.startswith(b"POST /run"):
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
             return
-        trail = ">".join(
+        layers = ">".join(
             f"{h['upstream']}:{h['first']}-{h['last']}" for h in call["route"]
         )
         sock.sendall(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n"
         )
-        # Spread over the period, as independent streams are.
+        # Spreads the streams' first events over the period, since independent
+        # streams are not in phase.
         spread = (len(self._streams) * 0.618) % 1.0 * self._pause
         self._streams[sock] = Stream(
             sock,
             call["request"],
             call["attempt"],
-            trail,
+            layers,
             0,
             call["max_tokens"],
             time.monotonic() + spread,
