--- a/bench/source.py
+++ b/bench/source.py
@@ -28,17 +28,17 @@
     sock: socket.socket
     request: str
     attempt: int
-    trail: str
+    layers: str
     position: int
     count: int
-    due: float
+    due_s: float
 
 
 class Source:
     """Accepts runs and sends their token events."""
 
     def __init__(self, events_per_s: float) -> None:
-        self._pause = 1.0 / events_per_s
+        self._period_s = 1.0 / events_per_s
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self._listener.setblocking(False)
         self._selector = selectors.DefaultSelector()
@@ -58,7 +58,7 @@
                     self._read(key.data)
             now = time.monotonic()
             for stream in list(self._streams.values()):
-                while stream.due <= now and stream.sock in self._streams:
+                while stream.due_s <= now and stream.sock in self._streams:
                     self._send(stream)
 
     def _accept(self) -> None:
@@ -102,7 +102,7 @@
         )
         # Spreads the streams' first events over the period, since independent
         # streams are not in phase.
-        spread = (len(self._streams) * 0.618) % 1.0 * self._pause
+        spread = (len(self._streams) * 0.618) % 1.0 * self._period_s
         self._streams[sock] = Stream(
             sock,
             call["request"],
@@ -114,10 +114,10 @@
         )
 
     def _send(self, stream: Stream) -> None:
-        stream.due += self._pause
+        stream.due_s += self._period_s
         event: dict[str, Any] = {"r": stream.request, "a": stream.attempt}
         if stream.position < stream.count:
-            event |= {"p": stream.position, "t": " word", "l": stream.trail}
+            event |= {"p": stream.position, "t": " word", "l": stream.layers}
         else:
             event |= {"end": stream.count, "load": len(self._streams)}
         stream.position += 1
