--- a/bench/page.py
+++ b/bench/page.py
@@ -1,4 +1,4 @@
-"""Renders docs/CAPACITY.md from docs/capacity.jsonl; no figure is typed."""
+"""Renders docs/CAPACITY.md; computes its figures from docs/capacity.jsonl."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class Measured(fits.Fit):
-    """A slope read from the file: its fit and what was fitted."""
+    """A slope read from the file: its fitted line and the measured points."""
 
     name: str
     size_unit: str
@@ -36,7 +36,7 @@
 
 
 def read_slopes(path: pathlib.Path) -> Slopes:
-    """Returns the slopes of a file by name."""
+    """Returns the slopes of a file, keyed by name."""
     found = {}
     for line in path.read_text(encoding="utf-8").splitlines():
         data: dict[str, Any] = json.loads(line)
@@ -46,19 +46,19 @@
 
 
 def render(slopes: Slopes) -> str:
-    """Returns the page."""
+    """Returns the page as Markdown."""
     sizes = target.Sizes()
-    rows = target.compute_requirements(slopes, sizes)
+    requirements = target.compute_requirements(slopes, sizes)
     roles = target.compute_roles(slopes, sizes)
     parts = [
         _INTRO,
         "## The letter's target, line by line\n",
         _table(
             ["asked", "what the slopes give", "margin", "mechanism"],
-            [[r.text, r.given, r.margin, r.mechanism] for r in rows],
+            [[r.text, r.given, r.margin, r.mechanism] for r in requirements],
         ),
         "\n## Shortfalls, and what would close them\n",
-        "\n".join(f"- {r.text}: {r.remedy}" for r in rows if r.remedy),
+        "\n".join(f"- {r.text}: {r.remedy}" for r in requirements if r.remedy),
         "\n\n## Each role at that size\n",
         _table(
             ["role", "state", "messages", "processor", "memory", "mechanism"],
--- a/bench/worlds.py
+++ b/bench/worlds.py
@@ -1,4 +1,4 @@
-"""Made-up configurations of a given size, for measurements in one process."""
+"""Generates configurations of a given size, for measurements in one process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def make_deployment(
     number: int, replicas: int, stages: int, data_centre: str = "dc"
 ) -> records.Deployment:
-    """Returns a deployment of chains over upstreams of its own."""
+    """Returns a deployment of chains over upstreams that no other one uses."""
     width = LAYERS // stages
     return records.Deployment(
         f"p{number}.{data_centre}",
@@ -46,7 +46,7 @@
 def make_records(
     workspaces: int, models: int, replicas: int, stages: int = 4
 ) -> Iterator[records.Record]:
-    """Yields the records of a configuration: asked, planned, in force."""
+    """Yields a configuration's records, from the lease to the loaded plans."""
     yield records.LeaseTaken("lease", "b", 0, "dc", "b", 6.0, 0)
     share = max(1, replicas // models)
     for w in range(workspaces):
@@ -64,7 +64,7 @@
     deployment: int,
     made: tuple[records.Deployment, ...],
 ) -> Iterator[records.Record]:
-    """Yields the records of one change."""
+    """Yields the records of one change, from the intent to the loaded plan."""
     intent = records.Intent(
         f"i{number}", workspace, model, "", "v1", ("dc",), 5, 1
     )
@@ -98,12 +98,12 @@
 def make_state(
     workspaces: int, models: int, replicas: int, stages: int = 4
 ) -> states.State:
-    """Returns the folded state of a configuration."""
+    """Returns the state after folding a configuration's records."""
     state = states.State()
     for offset, record in enumerate(
         make_records(workspaces, models, replicas, stages), 1
     ):
-        # As read from the log: what JSON keeps.
+        # Encodes and decodes the record, as one read from the log.
         data = codec.dump_json(records.CODEC.encode(record))
         read = records.CODEC.decode(codec.load_json(data))
         fold.apply(state, records.Entry(offset, read))
@@ -111,7 +111,7 @@
 
 
 def make_hosts(state: states.State, extra: int = 0) -> dict[str, hostlist.Host]:
-    """Returns hosts for all upstreams of a state, and some free ones."""
+    """Returns hosts for all upstreams of a state, and `extra` free hosts."""
     names = [
         s.upstream
         for d in state.deployments.values()
@@ -123,7 +123,7 @@
 
 
 def make_host(name: str, number: int) -> hostlist.Host:
-    """Returns a host; kinds differ in speed, memory and link."""
+    """Returns a host; accelerators differ in speed, memory and link speed."""
     kind = number % len(KINDS)
     return hostlist.Host(
         name,
