--- a/bench/page.py
+++ b/bench/page.py
@@ -14,11 +14,11 @@
 FILE: Final = pathlib.Path("docs/capacity.jsonl")
 PAGE: Final = pathlib.Path("docs/CAPACITY.md")
 
-MILLI: Final = 1000.0
+MS_PER_S: Final = 1000.0
 
 
 @attrs.frozen(kw_only=True)
-class Measured(fits.Fit):
+class MeasuredSlope(fits.Fit):
     """A slope read from the file: its fitted line and the measured points."""
 
     name: str
@@ -32,7 +32,7 @@
         return max(x for x, _ in self.points)
 
 
-Slopes = dict[str, Measured]
+Slopes = dict[str, MeasuredSlope]
 
 
 def read_slopes(path: pathlib.Path) -> Slopes:
@@ -41,7 +41,7 @@
     for line in path.read_text(encoding="utf-8").splitlines():
         data: dict[str, Any] = json.loads(line)
         data["points"] = tuple((x, y) for x, y in data["points"])
-        found[data["name"]] = Measured(**data)
+        found[data["name"]] = MeasuredSlope(**data)
     return found
 
 
@@ -53,14 +53,14 @@
     parts = [
         _INTRO,
         "## The letter's target, line by line\n",
-        _table(
+        _format_table(
             ["asked", "what the slopes give", "margin", "mechanism"],
             [[r.text, r.given, r.margin, r.mechanism] for r in requirements],
         ),
         "\n## Shortfalls, and what would close them\n",
         "\n".join(f"- {r.text}: {r.remedy}" for r in requirements if r.remedy),
         "\n\n## Each role at that size\n",
-        _table(
+        _format_table(
             ["role", "state", "messages", "processor", "memory", "mechanism"],
             [
                 [r.role, r.state, r.messages, r.cpu, r.memory, r.mechanism]
@@ -68,7 +68,7 @@
             ],
         ),
         "\n## Failures\n",
-        _table(
+        _format_table(
             ["what fails", "load", "messages", "time to recover"],
             [
                 [f.cause, f.load, f.messages, f.recovery]
@@ -76,7 +76,7 @@
             ],
         ),
         "\n## Slopes as measured\n",
-        _table(
+        _format_table(
             [
                 "slope",
                 "per",
@@ -96,7 +96,7 @@
     return "\n".join(parts)
 
 
-def _format_slope(slope: Measured, sizes: target.Sizes) -> list[str]:
+def _format_slope(slope: MeasuredSlope, sizes: target.Sizes) -> list[str]:
     used = target.get_used_size(slope.name, sizes)
     factor = used / slope.largest
     return [
@@ -113,7 +113,7 @@
     ]
 
 
-def _table(head: list[str], rows: list[list[str]]) -> str:
+def _format_table(head: list[str], rows: list[list[str]]) -> str:
     lines = ["| " + " | ".join(head) + " |", "|" + "---|" * len(head)]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
     return "\n".join(lines) + "\n"
--- a/bench/worlds.py
+++ b/bench/worlds.py
@@ -12,7 +12,7 @@
 from egretspur.routing import tables
 
 LAYERS = 32
-KINDS = ("a", "b", "c", "d", "e", "f", "g")
+ACCELERATORS = ("a", "b", "c", "d", "e", "f", "g")
 
 
 def make_deployment(
@@ -48,13 +48,15 @@
 ) -> Iterator[records.Record]:
     """Yields a configuration's records, from the lease to the loaded plans."""
     yield records.LeaseTaken("lease", "b", 0, "dc", "b", 6.0, 0)
-    share = max(1, replicas // models)
+    chains_per_model = max(1, replicas // models)
     for w in range(workspaces):
         model = w % models
-        made: tuple[records.Deployment, ...] = ()
+        deployments: tuple[records.Deployment, ...] = ()
         if w < models:
-            made = (make_deployment(model, share, stages),)
-        yield from make_change(w, f"ws-{w}", f"model-{model}", model, made)
+            deployments = (make_deployment(model, chains_per_model, stages),)
+        yield from make_change(
+            w, f"ws-{w}", f"model-{model}", model, deployments
+        )
 
 
 def make_change(
@@ -62,7 +64,7 @@
     workspace: str,
     model: str,
     deployment: int,
-    made: tuple[records.Deployment, ...],
+    deployments: tuple[records.Deployment, ...],
 ) -> Iterator[records.Record]:
     """Yields the records of one change, from the intent to the loaded plan."""
     intent = records.Intent(
@@ -73,7 +75,7 @@
         records.binding_key(workspace, model),
         *(
             records.upstream_key(s.upstream)
-            for d in made
+            for d in deployments
             for c in d.chains
             for s in c.stages
         ),
@@ -87,7 +89,7 @@
         10**9,
         keys,
         keys,
-        made,
+        deployments,
         records.Binding(workspace, model, (f"p{deployment}.dc",), 5, 0),
         records.Findings(0.0, 100.0, 110.0, 20.0),
     )
@@ -103,7 +105,7 @@
     for offset, record in enumerate(
         make_records(workspaces, models, replicas, stages), 1
     ):
-        # Encodes and decodes the record, as one read from the log.
+        # Passes through JSON, as a record that is read from the log.
         data = codec.dump_json(records.CODEC.encode(record))
         read = records.CODEC.decode(codec.load_json(data))
         fold.apply(state, records.Entry(offset, read))
@@ -124,7 +126,7 @@
 
 def make_host(name: str, number: int) -> hostlist.Host:
     """Returns a host; accelerators differ in speed, memory and link speed."""
-    kind = number % len(KINDS)
+    kind = number % len(ACCELERATORS)
     return hostlist.Host(
         name,
         hostlist.Role.ENGINE,
@@ -132,7 +134,7 @@
         "dc",
         "1764600000000",
         rack=f"rack-{number // 32}",
-        accelerator=KINDS[kind],
+        accelerator=ACCELERATORS[kind],
         memory_bytes=(8 + 2 * kind) * 1_000_000,
         layers_per_s=1000.0 * (1 + kind),
         slots=32,
