--- a/bench/relay.py
+++ b/bench/relay.py
@@ -212,11 +212,11 @@
 def main() -> None:
     """Measures and prints the figures."""
     figures.say("relay: 200 streams at 20 events/s")
-    router, plain = run()
+    router_cost, plain = run()
     figures.emit(
         figures.Figure(
             "cpu_per_relayed_event",
-            router.cpu_s_per_event * 1000,
+            router_cost.cpu_s_per_event * 1000,
             "ms",
             "urllib3 to waitress, nothing checked",
             plain.cpu_s_per_event * 1000,
@@ -225,10 +225,10 @@
     figures.emit(
         figures.Figure(
             "relayed_events",
-            router.events_per_s,
+            router_cost.events_per_s,
             "events/s",
             "offered",
-            router.offered_per_s,
+            router_cost.offered_per_s,
         )
     )
 
--- a/bench/target.py
+++ b/bench/target.py
@@ -367,8 +367,8 @@
 
 def compute_roles(lines: FittedLines, sizes: Sizes) -> list[RoleRow]:
     """Returns the resource use of each role."""
-    requirements = compute_requirements(lines, sizes)
-    router = next(r for r in requirements if "requests and" in r.text)
+    rows = {r.text: r for r in compute_requirements(lines, sizes)}
+    router = next(r for text, r in rows.items() if "requests and" in text)
     folds = lines["fold_seconds"].slope
     poll = lines["message_seconds"].predict(ENTRIES_PER_UPDATE)
     checkpoint = lines["checkpoint_seconds"].predict(sizes.workspaces)
@@ -380,10 +380,6 @@
     engines = sizes.replicas_per_data_centre * 4
     table = lines["table_size"].predict(sizes.replicas_per_data_centre)
     apply = lines["table_take_seconds"].predict(sizes.replicas_per_data_centre)
-    plan = lines["plan_seconds"].predict(sizes.replicas_per_data_centre)
-    hosts = lines["hosts_memory_by_replicas"].predict(
-        sizes.replicas_per_data_centre
-    )
     changes = sizes.changes_day / DAY_S
     return [
         RoleRow(
@@ -445,8 +441,10 @@
             "planner",
             "one plan at a time, dropped after it",
             f"{changes:.2f} plans/s over all nodes",
-            f"{plan:.2f} s for a data centre's replicas (`plan_seconds`)",
-            f"{hosts:.1f} MB of hosts (`hosts_memory_by_replicas`)",
+            f"{lines['plan_seconds'].predict(sizes.replicas_per_data_centre):.2f}"
+            " s for a data centre's replicas (`plan_seconds`)",
+            f"{lines['hosts_memory_by_replicas'].predict(sizes.replicas_per_data_centre):.1f}"
+            " MB of hosts (`hosts_memory_by_replicas`)",
             "runs in the daemon that was asked",
         ),
         RoleRow(
