--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,10 +1,10 @@
-"""What each mechanism is worth: with it and without.
+"""Compares results with each mechanism and without it.
 
-``python -m bench.ablation`` plays the model of engines, with engines lost and
-without, as far as the model has the mechanism, and prints JSON lines. ``--site
-FILE... --day NAME... --seed N...`` prints the commands that play the same on
-the users' bench instead, each in a copy of the tree whose deploy file starts
-hosts without that mechanism. Read next: `egretspur.mechanisms`.
+``python -m bench.ablation`` simulates the engine model, with and without lost
+engines, for the mechanisms that the model has, and prints JSON lines. ``--site
+FILE... --day NAME... --seed N...`` instead prints the commands that run the
+same comparison on the users' bench, each in a copy of the tree whose deploy
+file starts hosts without that mechanism. Read next: `egretspur.mechanisms`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from bench import figures, fleet, fleetplay
 from egretspur import mechanisms
 
-# Those that the model has: it knows neither streams' silences nor reports.
+# Mechanisms that the model has; it simulates no silent streams and no reports.
 MODELLED: Final = ("resuming", "prompt_first")
 
 LOADS: Final = (1.0, 1.5, 2.0)
@@ -28,21 +28,23 @@
 
 
 def play_model() -> None:
-    """Prints the worth of days with each modelled mechanism left out."""
+    """Prints the earned share without each of the modelled mechanisms."""
     policies = [fleetplay.Policy("all")]
     for name in MODELLED:
         using = mechanisms.make([name])
         policies.append(fleetplay.Policy(f"without {name}", using=using))
     found = fleet.compare(LOADS, policies)
     for policy, worths in found.items():
-        for load, worth, whole in zip(LOADS, worths, found["all"], strict=True):
+        for load, worth, baseline in zip(
+            LOADS, worths, found["all"], strict=True
+        ):
             figures.emit(
                 figures.Figure(
                     f"model worth ({policy}, load {load})",
                     worth,
                     "of what is owed",
                     "all",
-                    whole,
+                    baseline,
                 )
             )
 
@@ -50,7 +52,7 @@
 def make_commands(
     sites: Sequence[str], days: Sequence[str], seeds: Sequence[int]
 ) -> Iterator[str]:
-    """Returns shell lines that play days on the bench, without each in turn."""
+    """Yields shell lines that run days on the bench without each mechanism."""
     for name in ("", *mechanisms.NAMES):
         folder = shlex.quote(f"ablation/{name or 'all'}")
         yield f"git worktree add --detach {folder}"
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -15,7 +15,7 @@
 
 
 def main() -> int:
-    """Measures and writes the file that the page is rendered from."""
+    """Measures the slopes and writes the file that the page renders."""
     lines = [make_line(s) for s in slopes.measure_all()]
     text = "".join(json.dumps(line) + "\n" for line in lines)
     print(text, end="")
@@ -25,7 +25,7 @@
 
 
 def make_line(slope: slopes.Slope) -> dict[str, Any]:
-    """Returns a slope with its fit as plain values."""
+    """Returns a slope with its fit, as values for JSON."""
     points = [(_round(x), _round(y)) for x, y in slope.points]
     fit = fits.fit_line(points)
     return {
--- a/bench/plain.py
+++ b/bench/plain.py
@@ -1,4 +1,4 @@
-"""Baseline of the relay: urllib3 in, waitress out, nothing checked."""
+"""Relay baseline: reads with urllib3, sends with waitress, checks nothing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main() -> int:
-    """Entry point."""
+    """Serves until the process is stopped."""
     parser = base.make_parser(__doc__ or "")
     parser.add_argument("--upstream", required=True)
     parser.add_argument("--threads", type=int, default=300)
@@ -26,9 +26,9 @@
         call |= {"request": "x", "attempt": 1, "route": []}
         res = conns.open("POST", args.upstream, "/run", orjson.dumps(call), {})
         assert not isinstance(res, transport.Failed)
-        return web.Response(200, {}, pass_on(res))
+        return web.Response(200, {}, forward(res))
 
-    def pass_on(res: Any) -> Iterator[bytes]:
+    def forward(res: Any) -> Iterator[bytes]:
         while data := res.read1(65_536):
             for line in data.splitlines():
                 event = orjson.loads(line)
--- a/bench/sink.py
+++ b/bench/sink.py
@@ -1,4 +1,4 @@
-"""A cheap reader of many streams: opens them and counts their events."""
+"""Opens many streams and counts their events, at little processor cost."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 @attrs.frozen
 class Counted:
-    """What came in the window."""
+    """Events received in the counting window."""
 
     events: int
     seconds: float
-    # Open streams that ended early.
+    # Streams that the server has closed, since the sink was opened.
     lost: int
 
 
 class Sink:
-    """Open streams to one address."""
+    """Holds open streams to one address."""
 
     def __init__(self, address: str, streams: int, path: str) -> None:
         host, _, port = address.rpartition(":")
@@ -49,7 +49,7 @@
             self._selector.register(sock, selectors.EVENT_READ)
 
     def count(self, seconds: float) -> Counted:
-        """Counts events for a while."""
+        """Counts the events received within `seconds`."""
         events = 0
         start = time.monotonic()
         end = start + seconds
