--- a/tests/bench/ablation.feature
+++ b/tests/bench/ablation.feature
@@ -1,6 +1,6 @@
-Feature: What each mechanism is worth
+Feature: Comparing hosts with each mechanism left out
 
-  Scenario: A host uses all mechanisms unless told otherwise
+  Scenario: A host uses all mechanisms by default
     Then a host started without options uses every mechanism
     And a host started with each "--without" lacks that one alone
     And a host started without an unknown mechanism says what there is
@@ -10,6 +10,6 @@
     When a request that runs near by has to leave an engine without a twin
     Then the one without sends its tokens over, the other one resumes it
 
-  Scenario: The commands for the bench
+  Scenario: Commands leave out one mechanism in each copy of the tree
     When the commands for 2 sites, 1 day and 2 seeds are made
     Then each mechanism is left out in a copy of its own, by 4 plays
