--- a/bench/worlds.py
+++ b/bench/worlds.py
@@ -1,4 +1,4 @@
-"""Made-up configurations of a given size, for measurements in one process."""
+"""Generates configurations of a given size, for measurements in one process."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from egretspur.routing import tables
 
 LAYERS = 32
-KINDS = ("a", "b", "c", "d", "e", "f", "g")
+ACCELERATORS = ("a", "b", "c", "d", "e", "f", "g")
 
 
 def make_deployment(
     number: int, replicas: int, stages: int, data_centre: str = "dc"
 ) -> records.Deployment:
-    """Returns a deployment of chains over upstreams of its own."""
+    """Returns a deployment of chains over upstreams that no other one uses."""
     width = LAYERS // stages
     return records.Deployment(
         f"p{number}.{data_centre}",
@@ -46,15 +46,17 @@
 def make_records(
     workspaces: int, models: int, replicas: int, stages: int = 4
 ) -> Iterator[records.Record]:
-    """Yields the records of a configuration: asked, planned, in force."""
+    """Yields a configuration's records, from the lease to the loaded plans."""
     yield records.LeaseTaken("lease", "b", 0, "dc", "b", 6.0, 0)
-    share = max(1, replicas // models)
+    chains_per_model = max(1, replicas // models)
     for w in range(workspaces):
         model = w % models
-        made: tuple[records.Deployment, ...] = ()
+        deployments: tuple[records.Deployment, ...] = ()
         if w < models:
-            made = (make_deployment(model, share, stages),)
-        yield from make_change(w, f"ws-{w}", f"model-{model}", model, made)
+            deployments = (make_deployment(model, chains_per_model, stages),)
+        yield from make_change(
+            w, f"ws-{w}", f"model-{model}", model, deployments
+        )
 
 
 def make_change(
@@ -62,9 +64,9 @@
     workspace: str,
     model: str,
     deployment: int,
-    made: tuple[records.Deployment, ...],
+    deployments: tuple[records.Deployment, ...],
 ) -> Iterator[records.Record]:
-    """Yields the records of one change."""
+    """Yields the records of one change, from the intent to the loaded plan."""
     intent = records.Intent(
         f"i{number}", workspace, model, "", "v1", ("dc",), 5, 1
     )
@@ -73,7 +75,7 @@
         records.binding_key(workspace, model),
         *(
             records.upstream_key(s.upstream)
-            for d in made
+            for d in deployments
             for c in d.chains
             for s in c.stages
         ),
@@ -87,7 +89,7 @@
         10**9,
         keys,
         keys,
-        made,
+        deployments,
         records.Binding(workspace, model, (f"p{deployment}.dc",), 5, 0),
         records.Findings(0.0, 100.0, 110.0, 20.0),
     )
@@ -98,12 +100,12 @@
 def make_state(
     workspaces: int, models: int, replicas: int, stages: int = 4
 ) -> states.State:
-    """Returns the folded state of a configuration."""
+    """Returns the state after folding a configuration's records."""
     state = states.State()
     for offset, record in enumerate(
         make_records(workspaces, models, replicas, stages), 1
     ):
-        # As read from the log: what JSON keeps.
+        # Passes through JSON, as a record that is read from the log.
         data = codec.dump_json(records.CODEC.encode(record))
         read = records.CODEC.decode(codec.load_json(data))
         fold.apply(state, records.Entry(offset, read))
@@ -111,7 +113,7 @@
 
 
 def make_hosts(state: states.State, extra: int = 0) -> dict[str, hostlist.Host]:
-    """Returns hosts for all upstreams of a state, and some free ones."""
+    """Returns hosts for all upstreams of a state, and `extra` free hosts."""
     names = [
         s.upstream
         for d in state.deployments.values()
@@ -123,8 +125,8 @@
 
 
 def make_host(name: str, number: int) -> hostlist.Host:
-    """Returns a host; kinds differ in speed, memory and link."""
-    kind = number % len(KINDS)
+    """Returns a host; accelerators differ in speed, memory and link speed."""
+    kind = number % len(ACCELERATORS)
     return hostlist.Host(
         name,
         hostlist.Role.ENGINE,
@@ -132,7 +134,7 @@
         "dc",
         "1764600000000",
         rack=f"rack-{number // 32}",
-        accelerator=KINDS[kind],
+        accelerator=ACCELERATORS[kind],
         memory_bytes=(8 + 2 * kind) * 1_000_000,
         layers_per_s=1000.0 * (1 + kind),
         slots=32,
