--- a/egretspur/daemons/news.py
+++ b/egretspur/daemons/news.py
@@ -101,9 +101,9 @@
     )
 
 
-def make_broker_update(update: datagrams.PeerUpdate) -> fleet.PeerUpdate:
+def make_broker_update(update: datagrams.PeerUpdate) -> fleet.PeerState:
     """Returns the part of another host's update that the broker applies."""
-    return fleet.PeerUpdate(
+    return fleet.PeerState(
         host=update.host,
         data_centre=update.data_centre,
         usage=update.usage,
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -354,9 +354,7 @@
                 upstreams.apply_record(self.fleet.roster, name, entry, now_s)
         return self.refresh(now_s)
 
-    def apply_peer_update(
-        self, update: fleets.PeerUpdate, now_s: float
-    ) -> None:
+    def apply_peer_update(self, update: fleets.PeerState, now_s: float) -> None:
         """Applies a peer update."""
         self.fleet.apply_peer_update(update, now_s)
         self.quarantine.apply_peer_update(update.ended, now_s)
--- a/egretspur/routing/desk.py
+++ b/egretspur/routing/desk.py
@@ -116,7 +116,7 @@
 class PeerUpdates:
     """Peer updates, oldest first."""
 
-    updates: tuple[fleet.PeerUpdate, ...]
+    updates: tuple[fleet.PeerState, ...]
     # Number of hosts known to share the retry budget, this one included.
     hosts: int
 
--- a/egretspur/routing/fleet.py
+++ b/egretspur/routing/fleet.py
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class PeerUpdate:
+class PeerState:
     """State of another host, as its peer update carries it."""
 
     host: str
@@ -179,7 +179,7 @@
             + self.backpressure.changes
         )
 
-    def apply_peer_update(self, update: PeerUpdate, now_s: float) -> None:
+    def apply_peer_update(self, update: PeerState, now_s: float) -> None:
         """Merges another host's peer update."""
         self._update_count += 1
         self.memory.apply_peer_update(
@@ -198,7 +198,7 @@
             update.host, update.data_centre, update.limits, now_s
         )
 
-    def _apply_peer_suspects(self, update: PeerUpdate, now_s: float) -> None:
+    def _apply_peer_suspects(self, update: PeerState, now_s: float) -> None:
         """Merges the upstreams that another host suspects.
 
         A host of another data centre is believed only about its own upstreams:
--- a/tests/steps/broker_steps.py
+++ b/tests/steps/broker_steps.py
@@ -626,7 +626,7 @@
     report = attrs.evolve(upstreams.PLAIN_REPORT, used=part * size, size=size)
     state.apply_report("a100-1", report, context.now_s)
     told = state.memory.list_excess(context.now_s)
-    news = fleet.PeerUpdate("10.0.0.2", "kl-hall", {}, {}, (), {}, told)
+    news = fleet.PeerState("10.0.0.2", "kl-hall", {}, {}, (), {}, told)
     context.other.fleet.apply_peer_update(news, context.now_s)
 
 
--- a/tests/steps/crashing_steps.py
+++ b/tests/steps/crashing_steps.py
@@ -140,7 +140,7 @@
 def hear_ends(state: broker.Broker, count: int, now_s: float) -> None:
     """Sends a broker a peer update with some crashes under the request."""
     ends = {f"start-{i}": 1.0 for i in range(count)}
-    news = fleet.PeerUpdate(
+    news = fleet.PeerState(
         "10.9.0.1", "kl-hall", {}, {}, (), {}, ended={crashes.FATAL: ends}
     )
     state.apply_peer_update(news, now_s)
--- a/tests/steps/entries_steps.py
+++ b/tests/steps/entries_steps.py
@@ -224,7 +224,7 @@
     former = upstreams.make_start_id("e-1", listing.BORN_MS)
     held = fleets.parse_layers(layers)
     assert held is not None
-    news = fleet.PeerUpdate(
+    news = fleet.PeerState(
         "10.0.0.99",
         "kl-hall",
         {former: jobs.Usage(40, 1e6)},
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -162,9 +162,9 @@
 
 def make_news(
     layers: dict[str, upstreams.AgedLayers],
-) -> fleet.PeerUpdate:
+) -> fleet.PeerState:
     """Returns news of a host near by that tells nothing but layers."""
-    return fleet.PeerUpdate("10.1.0.9", "kl-hall", {}, {}, (), layers)
+    return fleet.PeerState("10.1.0.9", "kl-hall", {}, {}, (), layers)
 
 
 def describe(moved: dict[str, upstreams.AgedLayers]) -> str:
--- a/tests/steps/search_steps.py
+++ b/tests/steps/search_steps.py
@@ -70,7 +70,7 @@
 @when("they wait for {seconds:d} s with 100 peer updates and reports a second")
 def step_news(context: Any, seconds: int) -> None:
     state = context.state
-    news = fleet.PeerUpdate("10.0.0.2", "kl-hall", {}, {}, (), {})
+    news = fleet.PeerState("10.0.0.2", "kl-hall", {}, {}, (), {})
     for i in range(seconds * 100):
         now_s = NOW_S + 0.1 + 0.01 * i
         state.apply_peer_update(news, now_s)
@@ -111,7 +111,7 @@
     state.arrive(attrs.evolve(job, fingerprint="f"), NOW_S)
     assert list(state.queue.waiting) == ["held"]
     state.apply_peer_update(
-        fleet.PeerUpdate("10.0.0.2", "kl-hall", {}, {}, (), {}, ended=ended),
+        fleet.PeerState("10.0.0.2", "kl-hall", {}, {}, (), {}, ended=ended),
         NOW_S,
     )
     for engine_id in list(state.fleet.memory.own):
--- a/tests/steps/suspects_steps.py
+++ b/tests/steps/suspects_steps.py
@@ -128,9 +128,9 @@
                     state.fleet.apply_peer_update(news, context.now_s)
 
 
-def make_news(host: str, suspects: tuple[str, ...]) -> fleet.PeerUpdate:
+def make_news(host: str, suspects: tuple[str, ...]) -> fleet.PeerState:
     """Returns news of failing engines alone."""
-    return fleet.PeerUpdate(
+    return fleet.PeerState(
         host, PLACES[host], {}, {}, (), {}, {}, suspects=suspects
     )
 
