--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the outside systems; each can be started by hand."""
+"""Small stand-ins for external systems; each can also be run on its own."""
--- a/tests/fakes/base.py
+++ b/tests/fakes/base.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: start, a page to set faults, a main."""
+"""Shared by the stand-ins: startup, flags and an endpoint to set faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def run(app: web.App, listen: str, threads: int = 16) -> int:
-    """Serves until a signal; prints the address as the first line."""
+    """Serves until SIGTERM or SIGINT; prints the address as the first line."""
     stop = threading.Event()
     signal.signal(signal.SIGTERM, lambda s, f: stop.set())
     signal.signal(signal.SIGINT, lambda s, f: stop.set())
@@ -30,7 +30,7 @@
 
 
 def make_parser(description: str) -> argparse.ArgumentParser:
-    """Returns a parser with the flags that all stand-ins have."""
+    """Returns a parser with the flags common to all stand-ins."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--listen", default="127.0.0.1:0", help="IP:port")
     return parser
@@ -47,12 +47,12 @@
 
 
 def read_json(req: web.Request) -> Any:
-    """Returns the body of a request as plain values."""
+    """Returns the request body decoded from JSON."""
     return codec.load_json(req.read_body())
 
 
 def reply(value: Any, status: int = 200) -> web.Response:
-    """Returns plain values as a response."""
+    """Returns a JSON response."""
     return web.reply_json(value, status)
 
 
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -1,14 +1,17 @@
-"""Stand-in of a model engine that holds a range of layers.
+"""Stand-in for a model engine that holds a range of layers.
 
 It batches continuously: each step takes up to ``--slots`` tokens and lasts
-tokens x layers / ``--layers-per-s``. Stages pass tokens on directly; the last
-emits them and hands the next position to the first.
-
-Faults: ``hang`` (no steps), ``silent`` (steps but emits nothing), ``repeat``,
-``cross`` (events of another request), ``gap`` (position to leave out),
-``truncate`` (position after which the stream just ends), ``wrong_layers``,
-``slow`` (factor), ``link_s`` (seconds per batch passed on), ``leaving``,
-``lose_order_answers``, ``die`` (exits at once).
+tokens x layers / ``--layers-per-s``. Stages forward tokens to each other
+directly; the last stage emits them and sends the next position to the first.
+
+Faults: ``hang`` (no steps), ``silent`` (steps but emits nothing), ``repeat``
+(emits each event twice and once more under the previous attempt), ``cross``
+(emits events of another request), ``gap`` (position that is skipped),
+``truncate`` (position at which the stream ends without an end event),
+``wrong_layers`` (reports one layer too few), ``slow`` (factor), ``link_s``
+(delay per forwarded batch in seconds), ``leaving`` (refuses new runs),
+``lose_order_answers`` (number of orders that are applied but answered with
+500), ``die`` (exits immediately).
 """
 
 from __future__ import annotations
@@ -30,19 +33,19 @@
 
 WORDS: Final = ("chest", "waist", "sleeve", "collar", "lapel", "seam", "hem")
 
-# Prefixes remembered for the cache events.
+# Capacity of the buffer of cache events.
 PREFIXES: Final = 64
 
 
 def make_token(prompt: str, version: str, position: int) -> str:
-    """Returns the token of a position; the same on every engine."""
+    """Returns the token of a position, identical on every engine."""
     seed = f"{prompt}/{version}/{position}".encode()
     digest = hashlib.blake2b(seed, digest_size=2).digest()
     return f" {WORDS[digest[0] % len(WORDS)]}{position}"
 
 
 def make_text(prompt: str, version: str, count: int) -> str:
-    """Returns the whole answer that a prompt must get."""
+    """Returns the complete text expected for a prompt."""
     return "".join(make_token(prompt, version, i) for i in range(count))
 
 
@@ -93,7 +96,7 @@
         self.cache_events: collections.deque[Any] = collections.deque(
             maxlen=PREFIXES
         )
-        # Tokens stepped, cancels taken, runs asked for.
+        # Counters: tokens processed, cancels received, runs requested.
         self.tokens = 0
         self.cancels = 0
         self.runs = 0
@@ -102,7 +105,7 @@
     # Orders.
 
     def order(self, data: Any) -> int:
-        """Takes an order; returns the HTTP status."""
+        """Applies an order; returns the HTTP status."""
         with self._lock:
             self.orders += 1
             if self._checks_fence and data["fence"] < self.fence:
@@ -142,7 +145,7 @@
                 self.holdings.append(holding)
 
     def get_status(self) -> Any:
-        """Returns what it says of itself."""
+        """Returns the engine's status report."""
         with self._lock:
             return {
                 "name": self.name,
@@ -157,7 +160,7 @@
     # Requests.
 
     def start(self, call: Any) -> queue.SimpleQueue[Any] | str:
-        """Starts an attempt whose last stage this is; or says why not."""
+        """Starts an attempt as its last stage; returns a reason if refused."""
         self.runs += 1
         hop = call["route"][-1]
         if self.faults["leaving"]:
@@ -181,11 +184,11 @@
         return out
 
     def end(self, call: Any) -> None:
-        """Forgets an attempt; the other stages must be told by its giver."""
+        """Drops an attempt here; its sender must cancel the other stages."""
         self.drop((call["request"], call["attempt"]))
 
     def drop(self, key: tuple[str, int]) -> bool:
-        """Forgets an attempt; tells whether a stream of it was open."""
+        """Drops an attempt; returns whether it had an open stream."""
         with self._lock:
             self._dropped.append(key)
             out = self._streams.pop(key, None)
@@ -194,12 +197,12 @@
         return out is not None
 
     def take(self, items: list[Any]) -> None:
-        """Takes tokens from the stage before."""
+        """Queues tokens received from the previous stage."""
         for item in items:
             self._work.put(item)
 
     def fail(self, data: Any) -> None:
-        """Takes the news that a stage can't go on."""
+        """Emits the error that another stage reported for an attempt."""
         key = (data["request"], data["attempt"])
         with self._lock:
             out = self._streams.get(key)
@@ -224,7 +227,7 @@
         return not self._weights or wanted in self.holdings
 
     def _note_prefix(self, prompt: str) -> None:
-        # One event in eight is lost, as the real ones come with gaps.
+        # Drops one event in eight: real cache events arrive with gaps.
         prefix = prompt[:32]
         if hash(prefix) % 8:
             self.cache_events.append([time.time(), prefix])
@@ -313,7 +316,7 @@
             )
 
     def _send(self, address: str, item: Any, last_address: str) -> None:
-        """Queues a token for a stage; a thread per address sends batches."""
+        """Queues a token for a stage; one thread per address sends batches."""
         if len(item["call"]["route"]) == 1:
             self._work.put(item)
             return
@@ -364,7 +367,7 @@
 
 
 class Stream:
-    """Body of a run: events as they come."""
+    """Response body of a run: events in the order of their emission."""
 
     def __init__(
         self, engine: Engine, call: Any, out: queue.SimpleQueue[Any]
@@ -379,7 +382,7 @@
         return self
 
     def __next__(self) -> bytes:
-        """Returns the events that have come."""
+        """Waits for an event; returns all that are queued."""
         if self._is_over:
             raise StopIteration
         events = [self._out.get()]
@@ -398,7 +401,7 @@
         return b"".join(lines)
 
     def close(self) -> None:
-        """Called when the stream is over or its reader is gone."""
+        """Called when the stream has ended or its reader disconnected."""
         self._engine.end(self._call)
 
 
@@ -407,7 +410,7 @@
 
 
 def make_app(engine: Engine) -> web.App:
-    """Returns the engine's pages."""
+    """Returns the engine's HTTP endpoints."""
     app = web.App()
 
     def run(req: web.Request) -> web.Response:
@@ -461,7 +464,7 @@
         )
 
     def cache(req: web.Request) -> web.Response:
-        # Late: what happened in the last second is not told yet.
+        # Events are published with a delay of one second.
         old = time.time() - 1.0
         return base.reply([e for e in engine.cache_events if e[0] < old])
 
--- a/tests/fakes/hosts.py
+++ b/tests/fakes/hosts.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's list of hosts; changes show after a lag.
+"""Stand-in for the platform's host list; changes are visible after a lag.
 
 ``PUT /hosts/<name>`` sets a host, ``DELETE /hosts/<name>`` removes it.
-Faults: ``down``.
+Faults: ``down`` (answers 503), ``lag_s`` (delay until a change is visible).
 """
 
 from __future__ import annotations
@@ -16,14 +16,15 @@
 
 
 class Hosts:
-    """The list, with every change and when it shows."""
+    """The host list as a history of changes."""
 
     def __init__(self, lag_s: float) -> None:
         self.faults: dict[str, Any] = {"down": False, "lag_s": lag_s}
         self._lock = threading.Lock()
-        # Changes in order: time shown, name, fields or None if removed.
+        # Changes in order: time at which it becomes visible, name, and fields or
+        # None if removed.
         self._changes: list[tuple[float, str, Any]] = []
-        # Data centre and role of each name, for removed ones too.
+        # Data centre and role by name, including removed hosts.
         self._kinds: dict[str, tuple[str, str]] = {}
 
     def put(self, name: str, fields: Any) -> None:
@@ -35,7 +36,7 @@
                 self._kinds[name] = (fields["data_centre"], fields["role"])
 
     def read(self, data_centre: str, role: str, since: int) -> Any:
-        """Returns what changed after a version."""
+        """Returns the visible changes after a version."""
         with self._lock:
             now = time.monotonic()
             version = 0
@@ -59,7 +60,7 @@
 
 
 def make_app(hosts: Hosts) -> web.App:
-    """Returns the service's pages."""
+    """Returns the service's HTTP endpoints."""
     app = web.App()
 
     def read(req: web.Request) -> web.Response:
--- a/tests/fakes/log.py
+++ b/tests/fakes/log.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's append-only log service.
+"""Stand-in for the platform's append-only log service.
 
-Faults: ``down`` (answers 503), ``delay_s``, ``lose_answers`` (that many
-appends take effect and answer 503).
+Faults: ``down`` (answers 503), ``delay_s`` (delay of each answer),
+``lose_answers`` (number of appends that take effect but answer 503).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Log:
-    """Streams in memory."""
+    """In-memory streams."""
 
     def __init__(self, retention_s: float, appends_per_s: float) -> None:
         self.faults: dict[str, Any] = {
@@ -33,7 +33,7 @@
         self.appends = 0
 
     def append(self, stream: str, records: list[Any]) -> int | None:
-        """Appends records; None if the answer is to be lost."""
+        """Appends records; returns None if the answer must be lost."""
         with self._condition:
             now = time.monotonic()
             self._free_at = max(now, self._free_at) + self._pause_s
@@ -55,7 +55,7 @@
     def read(
         self, stream: str, start: int, limit: int, wait_s: float
     ) -> dict[str, Any]:
-        """Returns records from an offset on, waiting for one if asked to."""
+        """Returns records from an offset on; waits up to `wait_s` for one."""
         end = time.monotonic() + wait_s
         with self._condition:
             while True:
@@ -80,7 +80,7 @@
 
 
 def make_app(log: Log) -> web.App:
-    """Returns the service's pages."""
+    """Returns the service's HTTP endpoints."""
     app = web.App()
 
     def refuse() -> web.Response | None:
--- a/tests/fakes/middlebox.py
+++ b/tests/fakes/middlebox.py
@@ -1,7 +1,8 @@
-"""Stand-in of what stands between two hosts: passes TCP bytes on.
+"""Stand-in for a network middlebox between two hosts: forwards TCP bytes.
 
-Faults: ``forget`` (drops all bytes of the connections that are open now, and
-keeps them open; new ones work), ``cut`` (refuses new ones and closes all).
+Faults: ``forget`` (keeps the currently open connections open but drops all
+their bytes; new connections work), ``cut`` (closes all connections and
+refuses new ones).
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Middlebox:
-    """Passes bytes between callers and one target."""
+    """Forwards bytes between callers and one target."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -24,7 +25,8 @@
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         self._lock = threading.Lock()
-        # Open connections and whether each is forgotten.
+        # Sockets of the open connections, and the connections whose bytes are
+        # dropped.
         self._pairs: dict[int, list[Any]] = {}
         self._forgotten: set[int] = set()
         self._is_cut = False
--- a/tests/fakes/replica.py
+++ b/tests/fakes/replica.py
@@ -1,13 +1,16 @@
-"""Stand-in of a replica of the platform: a model engine or a plain service.
-
-An engine sends events at a steady pace if the path of a request covers all
-layers and its own part is held. Faults: ``events`` and ``pause_s`` of a
-stream, ``cut_after`` (events after which a stream breaks off),
-``resumed_status`` of a stream that is to go on, ``status`` of a plain answer,
-``refuse`` (answers that it has not run), ``lose`` (a plain answer is lost after
-its request ran), ``delay_s``, ``limit``, ``rest_s`` and ``leaving`` (what it
-asks for in its answers; with a rest it turns requests away), ``crash_on`` (a
-text; the process ends as it begins to run a request whose body holds it).
+"""Stand-in for a replica of the platform: a model engine or a plain service.
+
+An engine streams events at a fixed interval if the path of a request covers
+all layers and the engine holds its own part.
+
+Faults: ``events`` (number per stream), ``pause_s`` (interval between them),
+``cut_after`` (number of events after which a stream is cut off),
+``resumed_status`` (status of a resumed stream), ``status`` (of a plain
+answer), ``refuse`` (answers that the request was not executed), ``lose`` (a
+plain answer is lost after its request ran), ``delay_s`` (delay of an answer),
+``limit``, ``rest_s`` and ``leaving`` (limit, backoff and drain that it requests
+in its answers; it refuses requests during a backoff), ``crash_on`` (the process
+exits when it starts a request whose body contains this text).
 """
 
 from __future__ import annotations
@@ -46,14 +49,14 @@
         }
         self.held: dict[str, int] | None = None
         self.orders = 0
-        # Requests that were begun, with the fields that the product sets.
+        # Started requests: the header fields that a host sent.
         self.runs: list[dict[str, str]] = []
-        # Streams whose connection was closed before their end.
+        # Number of streams that the caller closed before their end.
         self.left = 0
         self.lock = threading.Lock()
 
     def report(self) -> dict[str, Any]:
-        """Returns the report page."""
+        """Returns the report."""
         return {
             "busy": False,
             "seq_no": self.orders,
@@ -65,7 +68,7 @@
         }
 
     def order(self, data: dict[str, Any]) -> int:
-        """Takes an order; returns the status."""
+        """Applies an order; returns the HTTP status."""
         if data["operation"] != "place":
             return 404
         if data.get("expected", self.orders) != self.orders:
@@ -75,7 +78,7 @@
         return 202
 
     def covers(self, path: str) -> bool:
-        """Tells whether a path covers the model once and starts here."""
+        """Returns whether a path covers each layer once and starts here."""
         at = 0
         for i, part in enumerate(path.split(",")):
             first, last = part.partition("=")[2].split("-")
@@ -93,14 +96,14 @@
 
 
 class Events:
-    """A stream; see `web.PushedBody`."""
+    """Body of a stream; see `web.PushedBody`."""
 
     def __init__(self, replica: Replica, after: int) -> None:
         self._replica = replica
         self._after = after
 
     def push(self, write: Callable[[bytes], Any]) -> None:
-        """Writes events."""
+        """Writes the events after the last one received by the caller."""
         faults = self._replica.faults
         sent = 0
         try:
@@ -118,7 +121,7 @@
 
 
 def make_app(replica: Replica) -> web.App:
-    """Returns the replica's pages."""
+    """Returns the replica's HTTP endpoints."""
     app = web.App()
 
     def order(req: web.Request) -> web.Response:
@@ -133,7 +136,7 @@
         }
         wish = read_wish(replica)
         if wish:
-            # For whoever checks afterwards what came in spite of it.
+            # `tests.asking` reads this to check that hosts complied.
             head.update(wish)
             tell(fields.get("Attempt-Id", ""), wish)
         if replica.faults["rest_s"]:
@@ -147,7 +150,7 @@
             return web.Response(421, {"Replica-Id": replica.name}, b"")
         with replica.lock:
             replica.runs.append({**fields, "target": req.get_target()})
-            # For whoever counts runs after this process was killed.
+            # Runs can be counted even after this process was killed.
             print(
                 f"ran {fields.get('Attempt-Id')}", file=sys.stderr, flush=True
             )
@@ -177,7 +180,7 @@
 
 
 def read_wish(replica: Replica) -> dict[str, str]:
-    """Returns the fields that ask something of the hosts."""
+    """Returns the header fields that request a limit, backoff or drain."""
     faults = replica.faults
     fields = {
         "Server-Limit": faults["limit"],
@@ -188,9 +191,9 @@
 
 
 def tell(request_id: str, wish: Mapping[str, str]) -> None:
-    """Prints what came while something is asked, and when."""
+    """Prints the id and time of a request that arrived during a demand."""
     fields = {"id": request_id, "at_s": time.monotonic(), "wish": wish}
-    # In one piece: other threads write lines too.
+    # A single write, because other threads print lines as well.
     sys.stderr.write(f"asked {json.dumps(fields)}\n")
     sys.stderr.flush()
 
--- a/tests/fakes/service.py
+++ b/tests/fakes/service.py
@@ -1,9 +1,9 @@
-"""Stand-in of a plain service: counts how often each id ran.
+"""Stand-in for a plain service: counts the runs of each request id.
 
-``POST /orders`` runs an order; ``GET /outcomes/<id>`` tells its outcome.
-Faults: ``lose_answers`` (that many run and then hang past any time-out),
-``delay_s`` (seconds before a call is answered), ``limit`` (calls a second that
-it names in its answers).
+``POST /orders`` runs an order; ``GET /outcomes/<id>`` returns its outcome.
+Faults: ``lose_answers`` (number of orders that run and then hang for
+``hang_s`` seconds, past any time-out), ``delay_s`` (seconds before a call is
+answered), ``limit`` (rate limit per second that its answers request).
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Service:
-    """Runs by request id."""
+    """Run counts by request id."""
 
     def __init__(self) -> None:
         self.faults: dict[str, Any] = {
@@ -28,12 +28,12 @@
             "limit": "",
         }
         self.runs: dict[str, int] = {}
-        # Times of the calls that came.
+        # Arrival times of the calls.
         self.times: list[float] = []
         self.lock = threading.Lock()
 
     def run(self, request_id: str) -> bool:
-        """Counts a run; False if its answer is to be lost."""
+        """Counts a run; returns False if its answer must be lost."""
         with self.lock:
             self.runs[request_id] = self.runs.get(request_id, 0) + 1
             if self.faults["lose_answers"] > 0:
@@ -43,7 +43,7 @@
 
 
 def make_app(service: Service) -> web.App:
-    """Returns the service's pages."""
+    """Returns the service's HTTP endpoints."""
     app = web.App()
 
     def run(req: web.Request) -> web.Response:
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -1,10 +1,10 @@
-"""Stand-in of the platform's store: keyed topics, reads, groups.
+"""Stand-in for the platform's store: keyed topics, reads and groups.
 
-``POST /write`` with topic, key and value (null removes) is the operator's and
-the upstreams' way in. Faults: ``down`` (answers 503), ``keep`` (records kept
-for reads; older ones are answered with 410). ``POST /copy`` with ``back_s`` has
-it come back from a copy that is so many seconds old, in the next era; ``keep``
-tells by topic how many records are in the copy at least.
+Operators and upstreams write with ``POST /write`` (topic, key and value; null
+removes the key). Faults: ``down`` (answers 503), ``keep`` (number of records
+kept for reads; a read of older ones gets 410). ``POST /copy`` restores the
+store from a copy that is ``back_s`` seconds old and starts the next era;
+``keep`` gives the minimum number of records in the copy by topic.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 
 
 class Store:
-    """Topics of one partition, and groups, in memory."""
+    """In-memory groups and topics of one partition each."""
 
     def __init__(self) -> None:
         self.faults: dict[str, Any] = {"down": False, "keep": 10_000}
-        # Rises with each copy.
+        # Incremented by each restore from a copy.
         self.era = 1
         self._records: dict[str, list[tuple[str, bytes]]] = {}
-        # When each record was written.
+        # Write time of each record.
         self._written_s: dict[str, list[float]] = {}
         self._changed = threading.Condition()
-        # Members by group, with when each lapses.
+        # Expiry time of each member, by group.
         self._members: dict[str, dict[str, float]] = {}
         self._generations: dict[str, int] = {}
 
     def write(self, topic: str, key: str, value: Any) -> int:
-        """Appends a record; returns the end."""
+        """Appends a record; returns the end offset."""
         raw = b"" if value is None else orjson.dumps(value)
         return self.append(topic, key, raw)
 
     def append(self, topic: str, key: str, raw: bytes) -> int:
-        """Appends a record as bytes; returns the end."""
+        """Appends a record as bytes; returns the end offset."""
         with self._changed:
             records = self._records.setdefault(topic, [])
             records.append((key, raw))
@@ -53,7 +53,7 @@
             return len(records)
 
     def copy(self, back_s: float, keep: dict[str, int]) -> None:
-        """Loses what was written in the last seconds, but the first records."""
+        """Drops the records of the last `back_s` s; keeps the first `keep`."""
         since_s = time.monotonic() - back_s
         with self._changed:
             for topic, times in self._written_s.items():
@@ -83,7 +83,7 @@
             }
 
     def read(self, topic: str, offset: int, wait_s: float) -> bytes | None:
-        """Returns records from an offset; None if they are gone."""
+        """Returns records from an offset; None if out of the kept range."""
         end_s = time.monotonic() + wait_s
         with self._changed:
             while True:
@@ -102,7 +102,7 @@
             return data
 
     def join(self, group: str, member: str, ttl_s: float) -> dict[str, Any]:
-        """Joins a member; the one that joined first has partition 0."""
+        """Adds or renews a member; the earliest member has partition 0."""
         now_s = time.monotonic()
         with self._changed:
             members = self._members.setdefault(group, {})
@@ -118,12 +118,12 @@
             return {"generation": self._generations[group], "parts": parts}
 
     def leave(self, group: str, member: str) -> None:
-        """Takes a member out."""
+        """Removes a member."""
         with self._changed:
             self._members.get(group, {}).pop(member, None)
 
     def list_owners(self, group: str) -> dict[str, Any]:
-        """Returns who holds which partition."""
+        """Returns the owner of each partition."""
         with self._changed:
             names = list(self._members.get(group, {}))
             rows = [["duty", i, name, 0] for i, name in enumerate(names)]
@@ -131,7 +131,7 @@
 
 
 def make_app(store: Store) -> web.App:
-    """Returns the store's pages."""
+    """Returns the store's HTTP endpoints."""
     app = web.App()
 
     def guard(handler: base.Handler) -> base.Handler:
--- a/tests/fakes/weights.py
+++ b/tests/fakes/weights.py
@@ -1,7 +1,7 @@
-"""Stand-in of the weight store: sizes, and loads at a limited rate.
+"""Stand-in for the weight store: model sizes, and loads at a limited rate.
 
-``POST /loads/<model>`` answers when the bytes would have been read; a load of
-higher priority goes before waiting ones of lower.
+``POST /loads/<model>`` answers after the time that reading the bytes takes;
+waiting loads run in order of priority.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Weights:
-    """Models and one shared rate."""
+    """Model sizes and a read rate shared by all loads."""
 
     def __init__(self, bytes_per_s: float) -> None:
         self._rate = bytes_per_s
@@ -38,7 +38,7 @@
         return self._models.get(model)
 
     def load(self, size: int, priority: int) -> None:
-        """Waits as long as reading takes, most urgent first."""
+        """Blocks for the time of the read; higher priorities go first."""
         with self._condition:
             self._count += 1
             turn = (-priority, self._count)
@@ -52,7 +52,7 @@
 
 
 def make_app(weights: Weights) -> web.App:
-    """Returns the service's pages."""
+    """Returns the service's HTTP endpoints."""
     app = web.App()
 
     def get(req: web.Request) -> web.Response:
