--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests: a folder for each slice, stand-ins of outside systems in `fakes`."""
+"""Tests: a folder per slice, and stand-ins for external systems in `fakes`."""
--- a/tests/asking.py
+++ b/tests/asking.py
@@ -1,8 +1,9 @@
-"""What hosts sent to upstreams that asked for less, from the upstreams' words.
+"""Checks that hosts comply with limits, backoffs and drains of upstreams.
 
-The oracle of the soak: replicas print each request that reaches them while they
-ask for something. All callers of a host have ids of their own, so an id names
-its host. Hosts that were started again, paused or stopped since are left out.
+The soak's oracle: replicas print each request that reaches them while they
+request a limit, a backoff or a drain. Each caller sends to one host, so the id
+of a request identifies its host. Requests of a host that was restarted, paused
+or stopped since the demand are not counted.
 """
 
 from __future__ import annotations
@@ -14,25 +15,27 @@
 
 import attrs
 
-# A host is bound so long after the answer; an upstream's limit holds so long
-# after it was first named, in a window, by so much; what may come in a rest.
+# Time after an answer with a demand until its host must comply.
 TOLD_S: Final = 0.5
+# Time after an upstream's first demand until all hosts together must comply.
 CONTACT_S: Final = 3.0
+# Number of requests allowed per window: SLACK times the limit, plus SPARE.
 WINDOW_S: Final = 4.0
 SLACK: Final = 1.5
 SPARE: Final = 5
+# Number of requests that one host may send during a backoff.
 IN_REST: Final = 2
 
-# Requests may come to an upstream for so long after it said that it leaves.
+# Time after an upstream announced its drain in which requests may arrive.
 DRAIN_S: Final = 2.0
 
-# Of one print to the next of an upstream that goes on asking for the same.
+# Longest interval between two requests that belong to the same demand.
 PAUSE_S: Final = 6.0
 
 
 @attrs.frozen
 class Came:
-    """A request that reached an upstream while it asked for something."""
+    """A request that reached an upstream during a demand of that upstream."""
 
     host: str
     at_s: float
@@ -40,11 +43,11 @@
 
 
 def read(lines: Iterable[str], hosts: Mapping[str, str]) -> list[Came]:
-    """Returns what an upstream printed.
+    """Returns the requests that an upstream printed.
 
     Args:
-        lines: Of its output.
-        hosts: By the ids of requests.
+        lines: Lines of its output.
+        hosts: Hosts by request id.
     """
     found = []
     for line in lines:
@@ -59,12 +62,12 @@
 def find(
     name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
 ) -> list[str]:
-    """Returns what reached an upstream in spite of what it asked for.
+    """Returns the violations of an upstream's demands.
 
     Args:
-        name: Of the upstream.
-        came: What reached it, in order.
-        troubled: When each host was in trouble of its own.
+        name: Name of the upstream.
+        came: Requests that reached it, in order.
+        troubled: Start and end times of each host's own faults.
     """
     return [
         *_find_beyond(name, came, troubled),
@@ -85,7 +88,7 @@
 def _find_beyond(
     name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
 ) -> list[str]:
-    """Returns windows with more than a limit allows, one for each spell."""
+    """Returns the worst window that exceeds a limit, one for each demand."""
     found = []
     spell: list[Came] = []
     spells = [spell]
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -1,4 +1,4 @@
-"""The demo: one intent, one answer, one dead stage; told in plain words."""
+"""The demo: an intent, a request, and a request whose stage is killed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main() -> int:
-    """Runs the demo; 0 if all was as it should be."""
+    """Runs the demo; returns 0 if all checks passed."""
     play = scene.Scene()
     try:
         return run(play)
@@ -73,7 +73,7 @@
 
 
 def wait_for_hosts(play: scene.Scene) -> None:
-    """Waits until both control daemons know their engines' lease."""
+    """Waits until the leases of both data centres are taken."""
     stage.wait_until(
         lambda: len(play.call("GET", "kl-1", "/v1/status")["leases"]) == 2,
         30,
@@ -82,7 +82,7 @@
 
 
 class _Replay:
-    """An open response of which some lines were read before."""
+    """An open response, preceded by the lines already read from it."""
 
     def __init__(self, res: object, early: list[str], lines: object) -> None:
         self.status = 200
@@ -100,18 +100,18 @@
         return b""
 
     def release_conn(self) -> None:
-        """Gives the connection back."""
+        """Returns the connection to the pool."""
         self._res.release_conn()  # type: ignore[attr-defined]
 
 
 def check(what: str, is_so: bool) -> bool:
-    """Says whether something is as it should be."""
+    """Prints and returns the result of a check."""
     say(f"  {what}: {'yes' if is_so else 'NO'}")
     return is_so
 
 
 def say(text: str) -> None:
-    """Prints a line at once."""
+    """Prints a line without buffering."""
     print(text, flush=True)
 
 
--- a/tests/environment.py
+++ b/tests/environment.py
@@ -1,4 +1,4 @@
-"""Hooks of behave: every scene is closed, whatever happened."""
+"""Behave hooks: each scene is closed even if its scenario failed."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def before_scenario(context: Any, scenario: Any) -> None:
-    """Gives each scenario a clean slate."""
+    """Starts each scenario without a scene."""
     context.play = None
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
-    """Ends the processes of the scenario's scene."""
+    """Stops the processes of the scenario's scene."""
     if context.play is not None:
         context.play.close()
--- a/tests/exact.py
+++ b/tests/exact.py
@@ -1,6 +1,6 @@
-"""Search for a path that tries every part of every engine: the tests' oracle.
+"""Exhaustive path search over every part of every engine: the tests' oracle.
 
-Slow, a hundred milliseconds over 190 engines, and plain. Read next:
+It is simple but slow: a hundred milliseconds for 190 engines. Read next:
 `egretspur.routing.paths`, which it checks.
 """
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class _Wanted:
-    """What a request wants of each part."""
+    """Requirements of a request on each part of its path."""
 
     tokens: float
     longest_pass_s: float
@@ -36,18 +36,18 @@
     costs: paths.Costs | None = None,
     longest_pass_s: float = math.inf,
 ) -> tuple[paths.Part, ...] | None:
-    """Returns the cheapest path that has room for a request.
+    """Returns the cheapest path with free capacity for a request.
 
     Args:
         cards: Usable engines.
         layers: Layers of the model.
-        tokens: Request memory wanted on each layer, in tokens.
+        tokens: Cache memory required on each layer, in tokens.
         home: Data centre from which the request is sent.
-        costs: Of joining engines.
-        longest_pass_s: Longest pass of one engine on its part.
+        costs: Costs of connecting engines.
+        longest_pass_s: Longest allowed pass of one engine over its part.
 
     Returns:
-        None if no engines with room cover all layers.
+        None if no engines with free capacity cover all layers.
     """
     costs = costs or paths.Costs()
     request = _Wanted(tokens, longest_pass_s)
@@ -79,7 +79,7 @@
     request: _Wanted,
     costs: paths.Costs,
 ) -> None:
-    """Tries an engine from the first boundary to each later one it reaches."""
+    """Tries an engine from the first boundary to each later one it holds."""
     bound = bounds[0]
     joined = costs.hop_s if here.parts else 0.0
     if card.data_centre != place:
--- a/tests/fakes/hosts.py
+++ b/tests/fakes/hosts.py
@@ -21,8 +21,8 @@
     def __init__(self, lag_s: float) -> None:
         self.faults: dict[str, Any] = {"down": False, "lag_s": lag_s}
         self._lock = threading.Lock()
-        # Changes in order: time at which it becomes visible, name, and fields or
-        # None if removed.
+        # Changes in order: time from which each is visible, name, and fields
+        # or None if removed.
         self._changes: list[tuple[float, str, Any]] = []
         # Data centre and role by name, including removed hosts.
         self._kinds: dict[str, tuple[str, str]] = {}
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Builders of engines, routes and requests for tests of decisions."""
+"""Builders of engines, routes and requests for unit tests."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     accelerators=ACCELERATORS,
 )
 
-# Cards of three data centres, by accelerator.
+# Number of engines of each accelerator in three data centres.
 DATA_CENTRES: Final = {
     "kl-hall": {"a100": 1, "l40s": 6, "l4": 5},
     "pg-hall": {"a100": 2, "l40s": 2, "l4": 5},
@@ -123,7 +123,7 @@
     entries: list[upstreams.Upstream],
     budget: repeats.Options = BUDGET,
 ) -> broker.Broker:
-    """Returns a broker in kl-hall that knows these upstreams."""
+    """Returns a broker in kl-hall with these upstreams in its roster."""
     state = broker.Broker("kl-hall", budget, random.Random(7))
     state.configure(make_config())
     for entry in entries:
--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -1,4 +1,4 @@
-"""Runs a hypothesis state machine from a step, seeded or for longer."""
+"""Runs a hypothesis state machine from a step, derandomized or long."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def run_machine(
     machine: type[stateful.RuleBasedStateMachine], histories: int, steps: int
 ) -> None:
-    """Runs histories of a machine; the same ones each time unless long."""
+    """Runs histories of a machine; identical in each run unless long."""
     stateful.run_state_machine_as_test(
         machine,
         settings=hypothesis.settings(
@@ -33,8 +33,8 @@
             database=None,
             deadline=None,
             suppress_health_check=list(hypothesis.HealthCheck),
-            # Shrinking a found history can take minutes; CI only needs to
-            # know. ``make fuzz`` shrinks.
+            # Shrinking a failing history can take minutes, and CI only needs
+            # the failure. ``make fuzz`` shrinks.
             phases=PHASES if IS_LONG else PHASES[:-1],
             print_blob=IS_LONG,
         ),
--- a/tests/listing.py
+++ b/tests/listing.py
@@ -1,7 +1,7 @@
 """The platform's list of upstreams in memory, and hosts that read it.
 
-Entries are bytes as upstreams, or anyone else, write them; hosts read them
-through the adapter, as changes or as a whole. Read next:
+Entries are raw bytes, valid or not; hosts read them through the adapter, as
+changes or as a full state. Read next:
 `tests.catalog.machine`.
 """
 
@@ -23,29 +23,29 @@
 from egretspur.routing import broker
 from tests import fleets
 
-# When the first start of every server was, in Unix ms.
+# Time of the first start of every upstream, in Unix ms.
 BORN_MS: Final = 1_764_700_000_000
 
-# After which an entry that is not written again is gone, in seconds.
+# Time after which an entry expires unless it is written again, in seconds.
 LAPSE_S: Final = bounds.Bounds().entry_ttl_s
 
 
 @attrs.define
 class Log:
-    """The topic of the list; answers as the store does."""
+    """The topic of the list; answers reads as the store does."""
 
-    # Key and value of each record; no value removes the key.
+    # Key and value of each record; an empty value removes the key.
     records: list[tuple[str, bytes]] = attrs.Factory(list)
-    # Rises with each copy.
+    # Incremented by each restore from a copy.
     era: int = 1
 
     def write(self, key: str, value: Any) -> None:
-        """Adds a record: bytes as they are, None as a removal, else JSON."""
+        """Adds a record: bytes unchanged, None as a removal, others as JSON."""
         raw = value if isinstance(value, bytes) else orjson.dumps(value)
         self.records.append((key, b"" if value is None else raw))
 
     def copy(self, back: int) -> None:
-        """Comes back from a copy that lacks the last records."""
+        """Restores the log from a copy that lacks the last `back` records."""
         del self.records[max(0, len(self.records) - back) :]
         self.era += 1
 
@@ -81,7 +81,7 @@
 
 
 class Host:
-    """A host that follows the list."""
+    """A host that reads the list."""
 
     def __init__(
         self, log: Log, clock: Callable[[], float] = time.monotonic
@@ -96,11 +96,11 @@
 
     @property
     def roster(self) -> upstreams.Roster:
-        """What it knows of the list."""
+        """The host's roster of upstreams."""
         return self.broker.fleet.roster
 
     def read_changes(self, now_s: float) -> None:
-        """Reads what was written since."""
+        """Reads the changes since the last read, or the full state."""
         if self.position is None:
             self.read_whole(now_s)
             return
@@ -113,17 +113,17 @@
         self.position = res.next
 
     def read_whole(self, now_s: float) -> None:
-        """Reads the whole list anew."""
+        """Reads the full state of the list."""
         res = self.topic.read_newest()
         assert isinstance(res, feeds.FullState), res
         self.broker.replace_upstreams(res.values, now_s)
         self.position = res.next
 
     def take_from(self, other: Host, now_s: float) -> None:
-        """Takes what another host hands over."""
+        """Applies the snapshot that another host exports."""
         data = other.topic.export(self.position)
         if data is None:
-            # It has read less.
+            # The other host has read less.
             return
         res = self.topic.read_snapshot(data)
         assert not isinstance(res, feeds.Unavailable), res
@@ -134,7 +134,7 @@
         self.position = res.next
 
     def list_usable(self, now_s: float) -> set[str]:
-        """Returns the ids of the upstreams that it may send work to."""
+        """Returns the ids of the upstreams that can be sent requests."""
         state = self.broker.fleet
         services = {e.service for e in self.roster.entries.values()}
         return {e.id for s in services for e in state.list_usable(s, now_s)}
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,9 +1,9 @@
-"""Runs all features in groups side by side and adds up their scenarios.
+"""Runs features in parallel and sums up their scenarios.
 
 ``python -m tests.run [--jobs N] [FEATURE...]``. Most scenarios wait for
-processes rather than for the processor, so features run at the same time, each
-in a behave of its own. A scenario named in KNOWN-RED.txt may fail; it is
-printed, and everything else must pass.
+processes rather than use the processor, so features run in parallel, each in
+its own behave process. A scenario named in KNOWN-RED.txt may fail; it is
+printed. All others must pass.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 ROOT: Final = pathlib.Path(__file__).parents[1]
 KNOWN_RED: Final = ROOT / "KNOWN-RED.txt"
 
-# A feature that takes longer is ended and counts as failed.
+# A feature that takes longer is killed and counts as failed.
 LONGEST_S: Final = 300.0
 
-# Features at once; half of the processors, since some scenarios start ten
-# processes that must not wait for each other.
+# Features run in parallel: half of the processors, since some scenarios start
+# ten processes that must not wait for each other.
 JOBS: Final = max(2, (os.cpu_count() or 2) // 2)
 
-# Folders whose scenarios start processes; they go first, being the longest.
+# Folders whose scenarios start processes; they take longest and run first.
 SLOW: Final = ("daemons", "intents", "orders", "claims", "delivery", "bench")
 
 _COUNTS: Final = re.compile(
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class Result:
-    """What one feature came to."""
+    """Result of one feature."""
 
     feature: str
     passed: int
@@ -81,7 +81,7 @@
 def read_result(
     feature: str, output: str, code: int, took_s: float = 0.0
 ) -> Result:
-    """Reads what behave printed for a feature."""
+    """Parses the output of behave for a feature."""
     counts = _COUNTS.search(output)
     failing = tuple(name for _, name in _FAILING.findall(output))
     if counts is None:
@@ -103,7 +103,7 @@
 
 
 def find_features() -> list[str]:
-    """Returns all features, those that take long first."""
+    """Returns all features, the slowest first."""
 
     def rank(path: pathlib.Path) -> tuple[bool, int]:
         is_slow = path.parent.name in SLOW
@@ -114,7 +114,7 @@
 
 
 def report(results: Sequence[Result], known: set[str]) -> int:
-    """Prints what failed and the sums; returns the exit code."""
+    """Prints the failures and the totals; returns the exit code."""
     red = 0
     for result in results:
         unknown = [n for n in result.failing if n not in known]
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -1,4 +1,4 @@
-"""A whole small system: platform, engines, entry hosts, callers, operators."""
+"""A small complete system: platform, engines, entry hosts and clients."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 VERSION: Final = "v1"
 LAYERS: Final = 32
 
-# Speeds of unlike accelerators, in layers per second.
+# Speeds of the two kinds of accelerators, in layers per second.
 KINDS: Final = {"fast": 16_000.0, "slow": 8_000.0}
 
 
 @attrs.frozen
 class Answer:
-    """What a caller got."""
+    """The answer to a completion."""
 
     status: int
     text: str
-    # True if the explicit end came.
+    # True if the end marker was received.
     whole: bool
     headers: dict[str, str]
     pipeline: str
@@ -38,12 +38,12 @@
 
 @attrs.define
 class Scene(stage.Stage):
-    """Processes by name; see the methods."""
+    """The processes of a scene, with actions of operators and callers."""
 
     # Settings merged into those of every control daemon and router.
     control_cfg: dict[str, Any] = attrs.Factory(dict)
     router_cfg: dict[str, Any] = attrs.Factory(dict)
-    # Address of a middlebox before the log, if the scene has one.
+    # Address of the middlebox in front of the log; empty if there is none.
     box_address: str = ""
 
     def start_platform(
@@ -73,12 +73,12 @@
         self.call("PUT", "weights", f"/models/{model}", spec)
 
     def grow_engines(self, memory_bytes: int) -> None:
-        """Lists all engines with more memory and waits until that shows."""
+        """Raises the listed memory of all engines; waits until it is read."""
         listed = self.call("GET", "hosts", "/hosts?role=engine")
         for host in listed["changed"]:
             host["memory_bytes"] = memory_bytes
             self.call("PUT", "hosts", f"/hosts/{host['name']}", host)
-        # Control daemons look at the list once a second.
+        # Control daemons poll the list once a second.
         time.sleep(1.5)
 
     def start_engine(
@@ -92,7 +92,7 @@
         checks_fence: bool = True,
         behind: bool = False,
     ) -> None:
-        """Starts an engine and lists it, behind a middlebox if asked to."""
+        """Starts and lists an engine; `behind` puts a middlebox in front."""
         args = ["--name", name, "--layers-per-s", str(KINDS[kind])]
         args += ["--slots", str(slots)]
         args += ["--weights", self.processes["weights"].address]
@@ -141,7 +141,7 @@
         self.call("PUT", "hosts", f"/hosts/{name}", host)
 
     def start_entry(self, name: str, data_centre: str) -> None:
-        """Starts an entry host: ``<name>`` its control, ``<name>-router``."""
+        """Starts an entry host: control ``<name>`` and ``<name>-router``."""
         self.start_control(name, data_centre)
         self.start_router(name, data_centre)
 
@@ -279,7 +279,7 @@
         )
 
     def get_in_force(self, router: str) -> int:
-        """Returns the offset a router routes by."""
+        """Returns the offset of a router's routing table."""
         offset: int = self.call("GET", router, "/state")["traffic"]["offset"]
         return offset
 
@@ -331,7 +331,7 @@
 
 
 def read_lines(res: Any) -> Iterator[str]:
-    """Yields the lines of an open response as they come."""
+    """Yields the lines of an open response as they arrive."""
     rest = b""
     while True:
         data = res.read1(65_536)
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -1,7 +1,7 @@
-"""A site of the platform for tests: store, upstreams, hosts, their callers.
+"""A test site of the platform: store, upstreams, hosts and callers.
 
-All are processes on this machine; hosts have addresses of their own in the
-loopback range. Read next: `tests.soak`.
+Store, upstreams and hosts are processes on this machine; each host has its own
+address in the loopback range. Read next: `tests.soak`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 LAYERS: Final = 8
 HOST: Final = "notes.example"
 
-# An upstream serves on for so long after it said that it leaves, in seconds.
+# Time for which a draining upstream continues to serve, in seconds.
 DRAIN_S: Final = 2.5
 
 SPEC: Final = {
@@ -41,7 +41,7 @@
 
 @attrs.define
 class Site:
-    """All processes of a scene."""
+    """All processes of a site."""
 
     stage: stage.Stage = attrs.Factory(stage.Stage)
     ports: dict[str, int] = attrs.Factory(dict)
@@ -52,21 +52,21 @@
     beats: threading.Event = attrs.Factory(threading.Event)
     beating: threading.Lock = attrs.Factory(threading.Lock)
     entries: dict[str, dict[str, Any]] = attrs.Factory(dict)
-    # Engines that are started end at a request whose body holds this.
+    # Engines that are started crash on a request whose body contains this.
     crash_on: str = ""
-    # Keep the ports of its hosts free for them.
+    # Sockets that reserve the ports of the hosts.
     held: list[socket.socket] = attrs.Factory(list)
-    # Bounds that its hosts' settings tell, beside those of all sites.
+    # Bounds in the hosts' settings, in addition to those of all sites.
     bounds: dict[str, float] = attrs.Factory(dict)
 
     def leave(self, name: str) -> None:
-        """Takes an upstream off the list."""
+        """Removes an upstream from the list."""
         with self.beating:
             self.entries.pop(name)
             self.write("keyed.servers", name, None)
 
     def close(self) -> None:
-        """Ends all processes."""
+        """Stops all processes."""
         self.beats.set()
         self.stage.close()
         for sock in self.held:
@@ -78,14 +78,14 @@
         self.stage.call("POST", "store", "/write", body)
 
     def beat(self) -> None:
-        """Keeps the entries of the engines as they report them."""
+        """Writes the entries of all upstreams every 0.2 s until closed."""
         while not self.beats.wait(0.2):
             with self.beating:
                 for name in list(self.entries):
                     self.beat_one(name)
 
     def beat_one(self, name: str) -> None:
-        """Writes one entry."""
+        """Writes one entry, with the layers that an engine reports."""
         entry = self.entries[name]
         try:
             if entry["service"] == "llm":
@@ -93,7 +93,7 @@
                 entry["layer_count"] = report["layer_count"]
             self.write("keyed.servers", name, entry)
         except RuntimeError:
-            # It was killed: its entry stays as it is until it is removed.
+            # The upstream was killed: its entry stays until it is removed.
             return
 
     def ask(
@@ -122,7 +122,7 @@
         )
 
     def start_upstream(self, name: str) -> None:
-        """Starts an engine (``e...``) or a plain replica and lists it."""
+        """Starts and lists an engine (``e...``) or a plain replica."""
         is_engine = name.startswith("e")
         args = ["--name", name]
         if is_engine:
@@ -145,15 +145,19 @@
             }
 
     def set_fault(self, name: str, faults: dict[str, Any]) -> None:
-        """Sets faults of a stand-in; raises RuntimeError if it is gone."""
+        """Sets faults of a stand-in.
+
+        Raises:
+            RuntimeError: The stand-in does not answer.
+        """
         self.stage.call("POST", name, "/faults", faults)
 
     def set_crash(self, name: str) -> None:
-        """Has an engine end at the request."""
+        """Makes an engine crash on requests that contain `crash_on`."""
         self.set_fault(name, {"crash_on": self.crash_on})
 
     def get_runs(self) -> list[dict[str, str]]:
-        """Returns what the upstreams ran."""
+        """Returns the requests that the listed upstreams ran."""
         runs = []
         for name in self.entries:
             runs += self.stage.call("GET", name, "/runs")
@@ -161,7 +165,7 @@
 
 
 def make_config(keys: list[str], version: int) -> dict[str, Any]:
-    """Returns a configuration as operators write it."""
+    """Returns a configuration in the form that operators write."""
     routes = []
     for prefix, kind, service in (
         ("/notes/", "streaming", "llm"),
@@ -203,8 +207,8 @@
 def hold_port(hosts: tuple[str, ...]) -> tuple[int, list[socket.socket]]:
     """Returns a TCP port that is free on all of these addresses.
 
-    It comes with sockets that hold it until they are closed: without them some
-    connection of another test takes it before a host listens there.
+    The returned sockets reserve the port until they are closed. Without them
+    a connection of another test can take it before a host listens there.
     """
     while True:
         socks: list[socket.socket] = []
@@ -213,7 +217,7 @@
             for host in hosts:
                 sock = socket.socket()
                 socks.append(sock)
-                # A process may then listen at the port all the same.
+                # Lets a host listen on the reserved port.
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 sock.bind((host, port))
                 port = int(sock.getsockname()[1])
@@ -257,14 +261,14 @@
 
 
 def keep_lines(process: stage.Process) -> None:
-    """Keeps what a host logs."""
+    """Collects the log lines of a host."""
     assert process.popen.stdout is not None
     for line in process.popen.stdout:
         process.lines.append(line)
 
 
 def is_ready(site: Site, ip: str = "127.0.0.1") -> bool:
-    """Tells whether a host is ready."""
+    """Returns whether a host is ready."""
     url = f"http://{ip}:{site.ports['ready']}/egretspur/readyz"
     try:
         return bool(site.pool.request("GET", url, timeout=1.0).status == 200)
@@ -273,7 +277,7 @@
 
 
 def can_stream(site: Site, ip: str = "127.0.0.1") -> bool:
-    """Tells whether a stream is answered."""
+    """Returns whether a host answers a stream completely."""
     try:
         res = site.ask("/notes/x", "key-1", ip)
         return bool(res.status == 200 and b"id: 5" in res.read())
@@ -302,6 +306,6 @@
 
 
 def wait_serving(site: Site, ip: str) -> None:
-    """Waits until a host is ready and finds paths."""
+    """Waits until a host is ready and answers streams."""
     stage.wait_until(lambda: is_ready(site, ip), 20.0, f"{ip} is ready")
     stage.wait_until(lambda: can_stream(site, ip), 20.0, f"{ip} finds paths")
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,27 +1,27 @@
-"""Faults without end on a site of stand-ins, and what must hold of answers.
+"""Fault soak: injects faults into a test site and checks all answers.
 
-``python -m tests.soak [--seed N] [--seconds S] [--hosts N]``. Callers ask every
-host for streams and plain calls while engines, plain replicas, hosts and the
-store fail by a seeded plan. Checked of each request, whatever failed:
+``python -m tests.soak [--seed N] [--seconds S] [--hosts N]``. Callers send
+streams and plain calls to every host while engines, plain replicas, hosts and
+the store fail by a seeded plan. These must hold under any fault:
 
-- a stream that ends whole has every event once and in order;
+- a stream that ends completely has every event once and in order;
 - an answer belongs to its request;
-- what may not be repeated ran once at most, and not at all if its caller was
-  told so;
-- once the faults are over, every host serves again.
+- a non-idempotent request runs at most once, and never if its caller got a
+  status that promises so;
+- after the faults, every host serves again.
 
-With ``--fatal`` a request comes too, every second or so at any host, that ends
-each engine which begins to run it; it may reach three more at most, later than
-3 s after it has ended the third.
+``--fatal`` adds a request, sent every second or so to a random host, that
+crashes each engine which starts it. It may reach at most three more engines
+later than 3 s after it has crashed the third.
 
-With ``--asking`` upstreams name limits, ask for rest and tell that they leave;
-`tests.asking` says what may still reach them.
+``--asking`` makes upstreams request limits, backoffs and drains;
+`tests.asking` defines which requests may still reach them.
 
-With ``--copies`` the store comes back from older copies of itself too.
+``--copies`` also restores the store from older copies of itself.
 
-Prints a JSON line for each finding and one with counts; exit code 1 if anything
-was found. The same seed plans the same faults; which request they meet depends
-on the machine.
+Prints a JSON line for each finding and one with counts; the exit code is 1 if
+there are findings. The same seed gives the same plan of faults; which requests
+they affect depends on the machine.
 """
 
 from __future__ import annotations
@@ -49,47 +49,47 @@
 GAP_S: Final = (0.4, 1.6)
 LASTS_S: Final = (0.5, 2.5)
 
-# Callers of each host, and what they ask for.
+# Number of callers per host, and the paths that they request.
 CALLERS: Final = 2
 PATHS: Final = ("/notes/x", "/cards/x", "/orders/x")
 ONCE: Final = "/orders/x"
 
-# Statuses that promise that a request has not run.
+# Statuses which guarantee that a request has not run.
 NOT_RUN: Final = frozenset({408, 421, 429, 503})
 
-
-# A request that ends engines, how often it comes, and the seconds between two
-# looks for engines that ended.
+# Body of a request that crashes engines, the interval between two of them, and
+# the interval between two checks for crashed engines, in seconds.
 FATAL: Final = '{"prompt": "fatal"}'
 FATAL_GAP_S: Final = (0.5, 1.5)
 AWAY_S: Final = 1.0
 
-# The third end, up to a second after its request was sent, and the time in
-# which hosts need not know of it; and what may reach engines later.
+# Time from the fatal request that causes the third crash until hosts must
+# quarantine it: up to 1 s until the crash, and 3 s until all hosts know of it.
+# LATE_MOST is the number that may reach engines later.
 CONTACT_S: Final = 4.0
 LATE_MOST: Final = 3
 
-# Age of the copy that the store comes back from, in seconds.
+# Age of the copy from which the store is restored, in seconds.
 COPY_BACK_S: Final = 6.0
 
 
 @attrs.frozen
 class Answer:
-    """How a request ended for its caller."""
+    """Outcome of a request for its caller."""
 
     id: str
     path: str
     host: str
-    # 0 if the connection ended without a whole answer.
+    # 0 if the connection ended before the end of the answer.
     status: int
     body: bytes = b""
-    # Request that the answer says it belongs to.
+    # Request id that the answer names.
     echoed: str = ""
 
 
 @attrs.define
 class Soak:
-    """A site under faults, with what was seen."""
+    """A site under faults, with the observed answers."""
 
     site: sites.Site
     ips: Sequence[str]
@@ -97,24 +97,24 @@
     answers: list[Answer] = attrs.Factory(list)
     faults: collections.Counter[str] = attrs.Factory(collections.Counter)
     stopped: threading.Event = attrs.Factory(threading.Event)
-    # Upstreams and hosts that are failing now; one at a time each.
+    # Targets with a current fault; each has at most one at a time.
     busy: set[str] = attrs.Factory(set)
     starts: int = 0
-    # When each request that ends engines was sent, by its id.
+    # Send time of each fatal request, by its id.
     fatal: dict[str, float] = attrs.Factory(dict)
-    # The store comes back from copies too.
+    # Whether the store is also restored from copies.
     has_copies: bool = False
-    # Upstreams ask for less, too.
+    # Whether upstreams also request limits, backoffs and drains.
     has_asking: bool = False
-    # Which host each request was sent to, by its id, and when each host was in
-    # trouble of its own.
+    # Host of each request, by its id, and start and end times of the faults of
+    # each target.
     sent: dict[str, str] = attrs.Factory(dict)
     troubled: collections.defaultdict[str, list[float]] = attrs.Factory(
         lambda: collections.defaultdict(list)
     )
 
     def call(self, number: int) -> None:
-        """Asks one host again and again; the thread of a caller."""
+        """Sends requests to one host until stopped; runs in a thread."""
         rng = random.Random(number)
         ip = self.ips[number % len(self.ips)]
         count = 0
@@ -136,7 +136,7 @@
         return Answer(request_id, path, ip, res.status, body, echoed)
 
     def end_engines(self, seed: int) -> None:
-        """Sends the request that ends engines again and again, in a thread."""
+        """Sends the fatal request until stopped; runs in a thread."""
         rng = random.Random(seed)
         while not self.stopped.wait(rng.uniform(*FATAL_GAP_S)):
             name = f"fatal-{len(self.fatal)}"
@@ -148,11 +148,11 @@
                     PATHS[0], "key-1", rng.choice(self.ips), body, fields
                 ).read()
             except (urllib3.exceptions.HTTPError, OSError):
-                # Its host is failing, or its answer was cut.
+                # The host is failing, or the answer was cut off.
                 continue
 
     def begin_fatal(self, seed: int) -> None:
-        """Has the request come that ends engines."""
+        """Starts to send the fatal request and to replace crashed engines."""
         self.site.crash_on = FATAL
         for name in self._list_victims("engine_"):
             self.site.set_crash(name)
@@ -163,7 +163,7 @@
             threading.Thread(target=work, args=args, daemon=True).start()
 
     def replace_ended(self) -> None:
-        """Starts engines anew that a request has ended, in a thread."""
+        """Replaces engines that a request has crashed; runs in a thread."""
         while not self.stopped.wait(AWAY_S):
             for name in self._list_victims("engine_"):
                 process = self.site.stage.processes[name].popen
@@ -173,7 +173,7 @@
                     self.busy.discard(name)
 
     def fail(self) -> None:
-        """Begins one fault; it ends by itself, in a thread of its own."""
+        """Starts one fault in its own thread, which also ends it."""
         faults = {
             **FAULTS,
             **(COPIES if self.has_copies else {}),
@@ -196,7 +196,7 @@
                 self.troubled[victim].append(time.monotonic())
                 faults[name](self, victim, lasts_s)
             except RuntimeError:
-                # A request has ended it meanwhile: it does not answer.
+                # A request has crashed the target: it does not answer.
                 if self.site.stage.processes[victim].popen.poll() is None:
                     raise
             finally:
@@ -215,15 +215,15 @@
         return sorted(n for n in self.site.entries if n.startswith(first))
 
     def set_fault(self, name: str, lasts_s: float, **faults: Any) -> None:
-        """Sets faults of a stand-in for some time."""
+        """Sets faults of a stand-in for `lasts_s` seconds."""
         self.site.set_fault(name, faults)
         time.sleep(lasts_s)
         self.site.set_fault(name, {k: CALM[k] for k in faults})
 
     def cut(self, name: str, lasts_s: float) -> None:
-        """Has an engine break a stream off; each second time no other resumes.
+        """Makes an engine cut a stream off; every second time none resumes it.
 
-        The others then fail what is sent to them to be gone on with.
+        The other engines then refuse to resume streams.
         """
         others = []
         if self.faults["engine_cut"] % 2:
@@ -236,40 +236,40 @@
 
     def _set_resumed(self, name: str, status: int) -> None:
         with contextlib.suppress(RuntimeError):
-            # It may have been killed meanwhile.
+            # The engine may have been killed.
             self.site.set_fault(name, {"resumed_status": status})
 
     def copy(self, name: str, lasts_s: float) -> None:
-        """Has the store go away and come back from a copy.
+        """Takes the store down and restores it from a copy.
 
-        Engines and replicas write their entries again by themselves.
+        Upstreams then write their entries again.
         """
         self.set_fault(name, lasts_s, down=True)
         data = {"back_s": COPY_BACK_S, "keep": {"keyed.op": 1}}
         self.site.stage.call("POST", name, "/copy", data)
 
     def pause(self, name: str, lasts_s: float) -> None:
-        """Freezes a process for some time."""
+        """Freezes a process for `lasts_s` seconds."""
         process = self.site.stage.processes[name]
         process.pause()
         time.sleep(lasts_s)
         process.resume()
 
     def kill_host(self, ip: str, lasts_s: float) -> None:
-        """Kills a host and starts it again."""
+        """Kills and restarts a host."""
         self.site.stage.processes[ip].kill()
         time.sleep(lasts_s)
         sites.start_host(self.site, ip)
 
     def stop_host(self, ip: str, lasts_s: float) -> None:
-        """Has a host stop in good order and starts it again."""
+        """Stops a host with SIGTERM and restarts it."""
         process = self.site.stage.processes[ip]
         process.terminate()
         process.popen.wait()
         sites.start_host(self.site, ip)
 
     def replace(self, name: str, lasts_s: float, is_told: bool) -> None:
-        """Kills an upstream, or has it leave; another one comes."""
+        """Kills an upstream, after a drain if `is_told`; starts another one."""
         if is_told:
             with self.site.beating:
                 self.site.entries[name]["state"] = "draining"
@@ -281,13 +281,13 @@
         self.site.start_upstream(f"{name[0]}n{self.starts}")
 
     def bid_farewell(self, name: str, lasts_s: float) -> None:
-        """Has an upstream leave that tells so only in its answers."""
+        """Drains an upstream that announces it only in its answers."""
         self.site.set_fault(name, {"leaving": True})
         time.sleep(2 * sites.DRAIN_S)
         self.replace(name, lasts_s, False)
 
     def find(self) -> list[str]:
-        """Returns what is wrong with the answers."""
+        """Returns the violations seen in the soak."""
         runs = self.count_runs()
         found = [f for a in self.answers if (f := check(a, runs[a.id]))]
         for name, process in self.site.stage.processes.items():
@@ -299,7 +299,7 @@
         return found
 
     def count_runs(self) -> collections.Counter[str]:
-        """Returns how often each request was begun, by all upstreams ever."""
+        """Returns how often each request ran, including on killed upstreams."""
         runs: collections.Counter[str] = collections.Counter()
         for process in self.site.stage.processes.values():
             for line in list(process.lines):
@@ -309,7 +309,7 @@
 
 
 def check(answer: Answer, runs: int) -> str:
-    """Returns what is wrong with an answer; empty if nothing is."""
+    """Returns the violation in an answer; empty if there is none."""
     told = f"{answer.id} {answer.path} at {answer.host}: "
     if answer.path == ONCE and runs > 1:
         return f"{told}ran {runs} times"
@@ -329,11 +329,11 @@
 
 
 def count_late(sent: Mapping[str, float], runs: Mapping[str, int]) -> int:
-    """Returns how often the request reached engines that no more should be.
+    """Returns the number of fatal requests that ran when quarantined.
 
     Args:
-        sent: When it was sent, by id.
-        runs: How often it was begun, by id.
+        sent: Send times of the fatal requests, by id.
+        runs: Number of runs, by id.
     """
     ended = 0
     bound_s = math.inf
@@ -347,7 +347,7 @@
     return late
 
 
-# What stand-ins do without faults.
+# Values of the faults when off.
 CALM: Final[dict[str, Any]] = {
     "down": False,
     "refuse": False,
@@ -361,7 +361,7 @@
 
 Fault = Callable[[Soak, str, float], None]
 
-# By name; what comes before the first underscore is what fails.
+# By name; the part before the first underscore is the kind of target.
 FAULTS: Final[dict[str, Fault]] = {
     "engine_cut": lambda s, n, t: s.cut(n, t),
     "engine_refuse": lambda s, n, t: s.set_fault(n, t, refuse=True),
@@ -380,8 +380,8 @@
     "store_pause": lambda s, n, t: s.pause(n, t),
 }
 
-# Beside the others where asked for. What asks for less does so for longer, and
-# one that leaves stays until the end of its process.
+# Added by ``--asking``. Limits and backoffs last longer than other faults; a
+# drain lasts until the end of the upstream's process.
 ASKING: Final[dict[str, Fault]] = {
     "engine_limit": lambda s, n, t: s.set_fault(n, 5 * t, limit="1.5"),
     "engine_rest": lambda s, n, t: s.set_fault(n, 3 * t, rest_s="1.5"),
@@ -391,7 +391,7 @@
     "plain_farewell": lambda s, n, t: s.bid_farewell(n, t),
 }
 
-# Beside the others where asked for, thrice as likely as one of them.
+# Added by ``--copies``; three times as likely as each of the others.
 COPIES: Final[dict[str, Fault]] = {
     f"store_copy{i}": lambda s, n, t: s.copy(n, t) for i in range(3)
 }
@@ -405,7 +405,7 @@
     has_copies: bool = False,
     has_asking: bool = False,
 ) -> tuple[Soak, list[str]]:
-    """Soaks a site; returns what was seen and what is wrong with it."""
+    """Runs a soak; returns its record and the violations."""
     site = sites.start_site(hosts)
     rng = random.Random(seed)
     soak = Soak(
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -29,24 +29,24 @@
     name: str
     popen: subprocess.Popen[str]
     address: str
-    # Lines it wrote to standard error, the newest last.
+    # Lines of its output, the newest last.
     lines: list[str] = attrs.Factory(list)
 
     def kill(self) -> None:
-        """Ends it at once."""
+        """Kills it and waits for its exit."""
         self.popen.kill()
         self.popen.wait()
 
     def terminate(self) -> None:
-        """Asks it to drain and stop."""
+        """Sends SIGTERM, on which it drains and stops."""
         self.popen.terminate()
 
     def pause(self) -> None:
-        """Stops it where it is."""
+        """Freezes it with SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it go on."""
+        """Resumes it with SIGCONT."""
         self.popen.send_signal(signal.SIGCONT)
 
 
@@ -63,7 +63,7 @@
     )
 
     def close(self) -> None:
-        """Ends all processes."""
+        """Kills all processes and removes the folder."""
         for process in self.processes.values():
             if process.popen.poll() is None:
                 process.popen.send_signal(signal.SIGCONT)
@@ -76,7 +76,7 @@
         self.folder.rmdir()
 
     def start(self, name: str, module: str, *args: str) -> Process:
-        """Starts a module and waits for its address."""
+        """Starts a module and waits until it prints its address."""
         popen = subprocess.Popen(
             [sys.executable, "-m", module, *args],
             stdout=subprocess.PIPE,
@@ -103,7 +103,7 @@
         return self.start(name, module, str(path))
 
     def call(self, method: str, name: str, path: str, value: Any = None) -> Any:
-        """Calls a process with JSON; returns the JSON answer."""
+        """Sends a JSON request to a process; returns the JSON response."""
         body = json.dumps(value).encode() if value is not None else None
         address = self.processes[name].address
         res = self.conns.call(method, address, path, body)
@@ -158,7 +158,7 @@
 def wait_until(
     check: Callable[[], Any], wait_s: float = 20.0, what: str = ""
 ) -> Any:
-    """Waits until a check gives something true; returns that."""
+    """Polls a check until its result is true; returns the result."""
     end = time.monotonic() + wait_s
     while True:
         result = check()
