--- a/bench/duties.py
+++ b/bench/duties.py
@@ -102,7 +102,7 @@
 def make_settings(store: str, ip: str) -> node.HostSettings:
     """Returns the settings of the host that is measured."""
     # Held until this returns; nothing else of the bench connects meanwhile.
-    held = [sites.hold_port((ip,)) for _ in range(3)]
+    held = [sites.reserve_port((ip,)) for _ in range(3)]
     ports = [port for port, _ in held]
     return node.HostSettings(
         name="host",
--- a/tests/asking.py
+++ b/tests/asking.py
@@ -16,33 +16,36 @@
 import attrs
 
 # Time after an answer with a demand until its host must comply.
-TOLD_S: Final = 0.5
+COMPLY_S: Final = 0.5
 # Time after an upstream's first demand until all hosts together must comply.
-CONTACT_S: Final = 3.0
-# Number of requests allowed per window: SLACK times the limit, plus SPARE.
+PROPAGATION_S: Final = 3.0
+# Number of requests allowed per window: LIMIT_FACTOR times
+# the limit, plus LIMIT_MARGIN.
 WINDOW_S: Final = 4.0
-SLACK: Final = 1.5
-SPARE: Final = 5
+LIMIT_FACTOR: Final = 1.5
+LIMIT_MARGIN: Final = 5
 # Number of requests that one host may send during a backoff.
-IN_REST: Final = 2
+MAX_IN_BACKOFF: Final = 2
 
 # Time after an upstream announced its drain in which requests may arrive.
 DRAIN_S: Final = 2.0
 
 # Longest interval between two requests that belong to the same demand.
-PAUSE_S: Final = 6.0
+MAX_DEMAND_GAP_S: Final = 6.0
 
 
 @attrs.frozen
-class Came:
+class Arrival:
     """A request that reached an upstream during a demand of that upstream."""
 
     host: str
     at_s: float
-    wish: Mapping[str, str]
+    demand: Mapping[str, str]
 
 
-def read(lines: Iterable[str], hosts: Mapping[str, str]) -> list[Came]:
+def read_arrivals(
+    lines: Iterable[str], hosts: Mapping[str, str]
+) -> list[Arrival]:
     """Returns the requests that an upstream printed.
 
     Args:
@@ -55,12 +58,12 @@
             data = json.loads(line.removeprefix("asked "))
             host = hosts.get(data["id"])
             if host is not None:
-                found.append(Came(host, data["at_s"], data["wish"]))
+                found.append(Arrival(host, data["at_s"], data["wish"]))
     return found
 
 
-def find(
-    name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
+def find_violations(
+    name: str, came: Sequence[Arrival], troubled: Mapping[str, Sequence[float]]
 ) -> list[str]:
     """Returns the violations of an upstream's demands.
 
@@ -70,32 +73,32 @@
         troubled: Start and end times of each host's own faults.
     """
     return [
-        *_find_beyond(name, came, troubled),
-        *_find_in_rest(name, came, troubled),
+        *_find_over_limit(name, came, troubled),
+        *_find_in_backoff(name, came, troubled),
         *_find_after_leaving(name, came, troubled),
     ]
 
 
-def _is_calm(
+def _is_undisturbed(
     troubled: Mapping[str, Sequence[float]],
     host: str,
     from_s: float,
     to_s: float,
 ) -> bool:
-    return not any(from_s - CONTACT_S < t < to_s for t in troubled[host])
+    return not any(from_s - PROPAGATION_S < t < to_s for t in troubled[host])
 
 
-def _find_beyond(
-    name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
+def _find_over_limit(
+    name: str, came: Sequence[Arrival], troubled: Mapping[str, Sequence[float]]
 ) -> list[str]:
     """Returns the worst window that exceeds a limit, one for each demand."""
     found = []
-    spell: list[Came] = []
+    spell: list[Arrival] = []
     spells = [spell]
-    for item in (c for c in came if "Server-Limit" in c.wish):
+    for item in (c for c in came if "Server-Limit" in c.demand):
         if spell and (
-            item.at_s - spell[-1].at_s > PAUSE_S
-            or item.wish["Server-Limit"] != spell[-1].wish["Server-Limit"]
+            item.at_s - spell[-1].at_s > MAX_DEMAND_GAP_S
+            or item.demand["Server-Limit"] != spell[-1].demand["Server-Limit"]
         ):
             spell = []
             spells.append(spell)
@@ -105,16 +108,17 @@
         bound: list[float] = []
         for item in spell:
             told_s = told.setdefault(item.host, item.at_s)
-            if item.at_s - told_s >= TOLD_S and _is_calm(
+            if item.at_s - told_s >= COMPLY_S and _is_undisturbed(
                 troubled, item.host, told_s, item.at_s
             ):
                 bound.append(item.at_s)
         if not bound:
             continue
         allowed = (
-            SLACK * float(spell[0].wish["Server-Limit"]) * WINDOW_S + SPARE
+            LIMIT_FACTOR * float(spell[0].demand["Server-Limit"]) * WINDOW_S
+            + LIMIT_MARGIN
         )
-        since_s = spell[0].at_s + CONTACT_S
+        since_s = spell[0].at_s + PROPAGATION_S
         worst = max(
             (
                 sum(t <= u < t + WINDOW_S for u in bound)
@@ -128,36 +132,36 @@
     return found
 
 
-def _find_in_rest(
-    name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
+def _find_in_backoff(
+    name: str, came: Sequence[Arrival], troubled: Mapping[str, Sequence[float]]
 ) -> list[str]:
     worst: collections.Counter[str] = collections.Counter()
     for asked in came:
-        if "Retry-After" not in asked.wish:
+        if "Retry-After" not in asked.demand:
             continue
-        end_s = asked.at_s + float(asked.wish["Retry-After"])
+        end_s = asked.at_s + float(asked.demand["Retry-After"])
         got = sum(
             c.host == asked.host
-            and asked.at_s + TOLD_S <= c.at_s < end_s
-            and _is_calm(troubled, c.host, asked.at_s, c.at_s)
+            and asked.at_s + COMPLY_S <= c.at_s < end_s
+            and _is_undisturbed(troubled, c.host, asked.at_s, c.at_s)
             for c in came
         )
         worst[asked.host] = max(worst[asked.host], got)
     return [
         f"{name} got {got} from {host} within its rest"
         for host, got in worst.items()
-        if got > IN_REST
+        if got > MAX_IN_BACKOFF
     ]
 
 
 def _find_after_leaving(
-    name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
+    name: str, came: Sequence[Arrival], troubled: Mapping[str, Sequence[float]]
 ) -> list[str]:
     told: dict[str, float] = {}
     found = []
-    for item in (c for c in came if "Server-Leaving" in c.wish):
+    for item in (c for c in came if "Server-Leaving" in c.demand):
         told_s = told.setdefault(item.host, item.at_s)
-        if item.at_s > told_s + DRAIN_S and _is_calm(
+        if item.at_s > told_s + DRAIN_S and _is_undisturbed(
             troubled, item.host, told_s, item.at_s
         ):
             late_s = item.at_s - told_s
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -34,7 +34,7 @@
 WORDS: Final = ("chest", "waist", "sleeve", "collar", "lapel", "seam", "hem")
 
 # Capacity of the buffer of cache events.
-PREFIXES: Final = 64
+MAX_CACHE_EVENTS: Final = 64
 
 
 def make_token(prompt: str, version: str, position: int) -> str:
@@ -94,7 +94,7 @@
         self.fence = 0
         self.orders = 0
         self.cache_events: collections.deque[Any] = collections.deque(
-            maxlen=PREFIXES
+            maxlen=MAX_CACHE_EVENTS
         )
         # Counters: tokens processed, cancels received, runs requested.
         self.tokens = 0
@@ -196,7 +196,7 @@
             out.put(None)
         return out is not None
 
-    def take(self, items: list[Any]) -> None:
+    def receive(self, items: list[Any]) -> None:
         """Queues tokens received from the previous stage."""
         for item in items:
             self._work.put(item)
@@ -325,11 +325,11 @@
             if out is None:
                 out = self._out[address] = queue.SimpleQueue()
                 threading.Thread(
-                    target=self._pass_on, args=(address, out), daemon=True
+                    target=self._forward, args=(address, out), daemon=True
                 ).start()
         out.put((item, last_address))
 
-    def _pass_on(self, address: str, out: queue.SimpleQueue[Any]) -> None:
+    def _forward(self, address: str, out: queue.SimpleQueue[Any]) -> None:
         while True:
             batch = [out.get()]
             while len(batch) < 64 and not out.empty():
@@ -375,7 +375,7 @@
         self._engine = engine
         self._call = call
         self._out = out
-        self._is_over = False
+        self._has_ended = False
 
     def __iter__(self) -> Iterator[bytes]:
         """Returns itself."""
@@ -383,7 +383,7 @@
 
     def __next__(self) -> bytes:
         """Waits for an event; returns all that are queued."""
-        if self._is_over:
+        if self._has_ended:
             raise StopIteration
         events = [self._out.get()]
         while not self._out.empty():
@@ -391,11 +391,11 @@
         lines = []
         for event in events:
             if event is None:
-                self._is_over = True
+                self._has_ended = True
                 break
             lines.append(orjson.dumps(event) + b"\n")
             if "end" in event or "error" in event:
-                self._is_over = True
+                self._has_ended = True
         if not lines:
             raise StopIteration
         return b"".join(lines)
@@ -431,7 +431,7 @@
         )
 
     def take(req: web.Request) -> web.Response:
-        engine.take(base.read_json(req))
+        engine.receive(base.read_json(req))
         return base.reply({})
 
     def fail(req: web.Request) -> web.Response:
--- a/tests/fakes/replica.py
+++ b/tests/fakes/replica.py
@@ -134,11 +134,11 @@
             "Attempt-Id": fields.get("Attempt-Id", ""),
             "Replica-Signature": f"sig-{replica.name}",
         }
-        wish = read_wish(replica)
+        wish = read_demand(replica)
         if wish:
             # `tests.asking` reads this to check that hosts complied.
             head.update(wish)
-            tell(fields.get("Attempt-Id", ""), wish)
+            print_demand(fields.get("Attempt-Id", ""), wish)
         if replica.faults["rest_s"]:
             return web.Response(503, {"Not-Executed": "1", **wish}, b"")
         if replica.faults["refuse"]:
@@ -179,7 +179,7 @@
     return app
 
 
-def read_wish(replica: Replica) -> dict[str, str]:
+def read_demand(replica: Replica) -> dict[str, str]:
     """Returns the header fields that request a limit, backoff or drain."""
     faults = replica.faults
     fields = {
@@ -190,7 +190,7 @@
     return {name: str(value) for name, value in fields.items() if value}
 
 
-def tell(request_id: str, wish: Mapping[str, str]) -> None:
+def print_demand(request_id: str, wish: Mapping[str, str]) -> None:
     """Prints the id and time of a request that arrived during a demand."""
     fields = {"id": request_id, "at_s": time.monotonic(), "wish": wish}
     # A single write, because other threads print lines as well.
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -49,27 +49,27 @@
         lambda: urllib3.PoolManager(retries=False, timeout=20.0, maxsize=16)
     )
     hosts: list[str] = attrs.Factory(list)
-    beats: threading.Event = attrs.Factory(threading.Event)
-    beating: threading.Lock = attrs.Factory(threading.Lock)
+    closed: threading.Event = attrs.Factory(threading.Event)
+    entries_lock: threading.Lock = attrs.Factory(threading.Lock)
     entries: dict[str, dict[str, Any]] = attrs.Factory(dict)
     # Engines that are started crash on a request whose body contains this.
     crash_on: str = ""
     # Sockets that reserve the ports of the hosts.
-    held: list[socket.socket] = attrs.Factory(list)
+    reserved: list[socket.socket] = attrs.Factory(list)
     # Bounds in the hosts' settings, in addition to those of all sites.
     bounds: dict[str, float] = attrs.Factory(dict)
 
     def leave(self, name: str) -> None:
         """Removes an upstream from the list."""
-        with self.beating:
+        with self.entries_lock:
             self.entries.pop(name)
             self.write("keyed.servers", name, None)
 
     def close(self) -> None:
         """Stops all processes."""
-        self.beats.set()
+        self.closed.set()
         self.stage.close()
-        for sock in self.held:
+        for sock in self.reserved:
             sock.close()
 
     def write(self, topic: str, key: str, value: Any) -> None:
@@ -77,14 +77,14 @@
         body = {"topic": topic, "key": key, "value": value}
         self.stage.call("POST", "store", "/write", body)
 
-    def beat(self) -> None:
+    def write_entries(self) -> None:
         """Writes the entries of all upstreams every 0.2 s until closed."""
-        while not self.beats.wait(0.2):
-            with self.beating:
+        while not self.closed.wait(0.2):
+            with self.entries_lock:
                 for name in list(self.entries):
-                    self.beat_one(name)
+                    self.write_entry(name)
 
-    def beat_one(self, name: str) -> None:
+    def write_entry(self, name: str) -> None:
         """Writes one entry, with the layers that an engine reports."""
         entry = self.entries[name]
         try:
@@ -130,7 +130,7 @@
         process = self.stage.start(name, "tests.fakes.replica", *args)
         if is_engine and self.crash_on:
             self.set_crash(name)
-        with self.beating:
+        with self.entries_lock:
             self.entries[name] = {
                 "service": "llm" if is_engine else "desk",
                 "address": process.address,
@@ -204,7 +204,7 @@
     }
 
 
-def hold_port(hosts: tuple[str, ...]) -> tuple[int, list[socket.socket]]:
+def reserve_port(hosts: tuple[str, ...]) -> tuple[int, list[socket.socket]]:
     """Returns a TCP port that is free on all of these addresses.
 
     The returned sockets reserve the port until they are closed. Without them
@@ -255,12 +255,12 @@
         text=True,
     )
     process = stage.Process(ip, popen, listen["frontend"])
-    threading.Thread(target=keep_lines, args=(process,), daemon=True).start()
+    threading.Thread(target=collect_lines, args=(process,), daemon=True).start()
     site.stage.processes[ip] = process
     site.hosts.append(ip)
 
 
-def keep_lines(process: stage.Process) -> None:
+def collect_lines(process: stage.Process) -> None:
     """Collects the log lines of a host."""
     assert process.popen.stdout is not None
     for line in process.popen.stdout:
@@ -290,14 +290,14 @@
     site = Site(bounds=bounds)
     ips = tuple(f"127.0.0.{i + 1}" for i in range(max(2, hosts)))
     for name in ("frontend", "ready", "control_plane"):
-        site.ports[name], socks = hold_port(ips)
-        site.held += socks
+        site.ports[name], socks = reserve_port(ips)
+        site.reserved += socks
     site.ports["exchange"] = stage.find_udp_port(ips)
     site.stage.start("store", "tests.fakes.store")
     for i in range(6):
         site.start_upstream(f"e{i}" if i < 4 else f"s{i}")
     site.write("keyed.op", "config", make_config(["key-1"], 2))
-    threading.Thread(target=site.beat, daemon=True).start()
+    threading.Thread(target=site.write_entries, daemon=True).start()
     for ip in ips[:hosts]:
         start_host(site, ip)
     for ip in ips[:hosts]:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -271,7 +271,7 @@
     def replace(self, name: str, lasts_s: float, is_told: bool) -> None:
         """Kills an upstream, after a drain if `is_told`; starts another one."""
         if is_told:
-            with self.site.beating:
+            with self.site.entries_lock:
                 self.site.entries[name]["state"] = "draining"
             time.sleep(sites.DRAIN_S)
         self.site.stage.processes[name].kill()
@@ -291,8 +291,8 @@
         runs = self.count_runs()
         found = [f for a in self.answers if (f := check(a, runs[a.id]))]
         for name, process in self.site.stage.processes.items():
-            came = asking.read(list(process.lines), self.sent)
-            found += asking.find(name, came, self.troubled)
+            came = asking.read_arrivals(list(process.lines), self.sent)
+            found += asking.find_violations(name, came, self.troubled)
         late = count_late(self.fatal, runs)
         if late > LATE_MOST:
             found.append(f"what ended three engines reached {late} more")
--- a/tests/steps/soak_steps.py
+++ b/tests/steps/soak_steps.py
@@ -122,10 +122,11 @@
 def step_came(context: Any, wish: str, times: str) -> None:
     name, _, value = wish.partition(" ")
     came = [
-        asking.Came(t[-1], float(t[:-1]), {name: value}) for t in times.split()
+        asking.Arrival(t[-1], float(t[:-1]), {name: value})
+        for t in times.split()
     ]
     calm: dict[str, list[float]] = {"a": [], "b": []}
-    context.found = asking.find("one", came, calm)
+    context.found = asking.find_violations("one", came, calm)
 
 
 @then('the soak finds "{finding}"')
