--- a/tests/asking.py
+++ b/tests/asking.py
@@ -63,66 +63,70 @@
 
 
 def find_violations(
-    name: str, came: Sequence[Arrival], troubled: Mapping[str, Sequence[float]]
+    name: str,
+    arrivals: Sequence[Arrival],
+    fault_times: Mapping[str, Sequence[float]],
 ) -> list[str]:
     """Returns the violations of an upstream's demands.
 
     Args:
         name: Name of the upstream.
-        came: Requests that reached it, in order.
-        troubled: Start and end times of each host's own faults.
+        arrivals: Requests that reached it, in order.
+        fault_times: Start and end times of each host's own faults.
     """
     return [
-        *_find_over_limit(name, came, troubled),
-        *_find_in_backoff(name, came, troubled),
-        *_find_after_leaving(name, came, troubled),
+        *_find_over_limit(name, arrivals, fault_times),
+        *_find_in_backoff(name, arrivals, fault_times),
+        *_find_after_leaving(name, arrivals, fault_times),
     ]
 
 
 def _is_undisturbed(
-    troubled: Mapping[str, Sequence[float]],
+    fault_times: Mapping[str, Sequence[float]],
     host: str,
     from_s: float,
     to_s: float,
 ) -> bool:
-    return not any(from_s - PROPAGATION_S < t < to_s for t in troubled[host])
+    return not any(from_s - PROPAGATION_S < t < to_s for t in fault_times[host])
 
 
 def _find_over_limit(
-    name: str, came: Sequence[Arrival], troubled: Mapping[str, Sequence[float]]
+    name: str,
+    arrivals: Sequence[Arrival],
+    fault_times: Mapping[str, Sequence[float]],
 ) -> list[str]:
     """Returns the worst window that exceeds a limit, one for each demand."""
     found = []
-    spell: list[Arrival] = []
-    spells = [spell]
-    for item in (c for c in came if "Server-Limit" in c.demand):
-        if spell and (
-            item.at_s - spell[-1].at_s > MAX_DEMAND_GAP_S
-            or item.demand["Server-Limit"] != spell[-1].demand["Server-Limit"]
+    episode: list[Arrival] = []
+    episodes = [episode]
+    for item in (c for c in arrivals if "Server-Limit" in c.demand):
+        if episode and (
+            item.at_s - episode[-1].at_s > MAX_DEMAND_GAP_S
+            or item.demand["Server-Limit"] != episode[-1].demand["Server-Limit"]
         ):
-            spell = []
-            spells.append(spell)
-        spell.append(item)
-    for spell in spells:
-        told: dict[str, float] = {}
-        bound: list[float] = []
-        for item in spell:
-            told_s = told.setdefault(item.host, item.at_s)
-            if item.at_s - told_s >= COMPLY_S and _is_undisturbed(
-                troubled, item.host, told_s, item.at_s
+            episode = []
+            episodes.append(episode)
+        episode.append(item)
+    for episode in episodes:
+        first_by_host: dict[str, float] = {}
+        counted: list[float] = []
+        for item in episode:
+            first_s = first_by_host.setdefault(item.host, item.at_s)
+            if item.at_s - first_s >= COMPLY_S and _is_undisturbed(
+                fault_times, item.host, first_s, item.at_s
             ):
-                bound.append(item.at_s)
-        if not bound:
+                counted.append(item.at_s)
+        if not counted:
             continue
         allowed = (
-            LIMIT_FACTOR * float(spell[0].demand["Server-Limit"]) * WINDOW_S
+            LIMIT_FACTOR * float(episode[0].demand["Server-Limit"]) * WINDOW_S
             + LIMIT_MARGIN
         )
-        since_s = spell[0].at_s + PROPAGATION_S
+        since_s = episode[0].at_s + PROPAGATION_S
         worst = max(
             (
-                sum(t <= u < t + WINDOW_S for u in bound)
-                for t in bound
+                sum(t <= u < t + WINDOW_S for u in counted)
+                for t in counted
                 if t + WINDOW_S >= since_s
             ),
             default=0,
@@ -133,18 +137,20 @@
 
 
 def _find_in_backoff(
-    name: str, came: Sequence[Arrival], troubled: Mapping[str, Sequence[float]]
+    name: str,
+    arrivals: Sequence[Arrival],
+    fault_times: Mapping[str, Sequence[float]],
 ) -> list[str]:
     worst: collections.Counter[str] = collections.Counter()
-    for asked in came:
+    for asked in arrivals:
         if "Retry-After" not in asked.demand:
             continue
         end_s = asked.at_s + float(asked.demand["Retry-After"])
         got = sum(
             c.host == asked.host
             and asked.at_s + COMPLY_S <= c.at_s < end_s
-            and _is_undisturbed(troubled, c.host, asked.at_s, c.at_s)
-            for c in came
+            and _is_undisturbed(fault_times, c.host, asked.at_s, c.at_s)
+            for c in arrivals
         )
         worst[asked.host] = max(worst[asked.host], got)
     return [
@@ -155,16 +161,18 @@
 
 
 def _find_after_leaving(
-    name: str, came: Sequence[Arrival], troubled: Mapping[str, Sequence[float]]
+    name: str,
+    arrivals: Sequence[Arrival],
+    fault_times: Mapping[str, Sequence[float]],
 ) -> list[str]:
-    told: dict[str, float] = {}
+    first_by_host: dict[str, float] = {}
     found = []
-    for item in (c for c in came if "Server-Leaving" in c.demand):
-        told_s = told.setdefault(item.host, item.at_s)
-        if item.at_s > told_s + DRAIN_S and _is_undisturbed(
-            troubled, item.host, told_s, item.at_s
+    for item in (c for c in arrivals if "Server-Leaving" in c.demand):
+        first_s = first_by_host.setdefault(item.host, item.at_s)
+        if item.at_s > first_s + DRAIN_S and _is_undisturbed(
+            fault_times, item.host, first_s, item.at_s
         ):
-            late_s = item.at_s - told_s
+            late_s = item.at_s - first_s
             found.append(
                 f"{name} got one from {item.host} {late_s:.1f} s after"
             )
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -46,28 +46,28 @@
 EVENTS: Final = 5
 
 # Seconds between two faults, and how long one lasts.
-GAP_S: Final = (0.4, 1.6)
-LASTS_S: Final = (0.5, 2.5)
+FAULT_INTERVAL_S: Final = (0.4, 1.6)
+FAULT_DURATION_S: Final = (0.5, 2.5)
 
 # Number of callers per host, and the paths that they request.
 CALLERS: Final = 2
 PATHS: Final = ("/notes/x", "/cards/x", "/orders/x")
-ONCE: Final = "/orders/x"
+NON_IDEMPOTENT_PATH: Final = "/orders/x"
 
 # Statuses which guarantee that a request has not run.
-NOT_RUN: Final = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 
 # Body of a request that crashes engines, the interval between two of them, and
 # the interval between two checks for crashed engines, in seconds.
 FATAL: Final = '{"prompt": "fatal"}'
-FATAL_GAP_S: Final = (0.5, 1.5)
-AWAY_S: Final = 1.0
+FATAL_INTERVAL_S: Final = (0.5, 1.5)
+REPLACE_INTERVAL_S: Final = 1.0
 
 # Time from the fatal request that causes the third crash until hosts must
 # quarantine it: up to 1 s until the crash, and 3 s until all hosts know of it.
-# LATE_MOST is the number that may reach engines later.
-CONTACT_S: Final = 4.0
-LATE_MOST: Final = 3
+# MAX_LATE_RUNS is the number that may reach engines later.
+QUARANTINE_DEADLINE_S: Final = 4.0
+MAX_LATE_RUNS: Final = 3
 
 # Age of the copy from which the store is restored, in seconds.
 COPY_BACK_S: Final = 6.0
@@ -108,12 +108,12 @@
     has_asking: bool = False
     # Host of each request, by its id, and start and end times of the faults of
     # each target.
-    sent: dict[str, str] = attrs.Factory(dict)
-    troubled: collections.defaultdict[str, list[float]] = attrs.Factory(
+    request_hosts: dict[str, str] = attrs.Factory(dict)
+    fault_times: collections.defaultdict[str, list[float]] = attrs.Factory(
         lambda: collections.defaultdict(list)
     )
 
-    def call(self, number: int) -> None:
+    def run_caller(self, number: int) -> None:
         """Sends requests to one host until stopped; runs in a thread."""
         rng = random.Random(number)
         ip = self.ips[number % len(self.ips)]
@@ -126,7 +126,7 @@
 
     def ask(self, request_id: str, path: str, ip: str) -> Answer:
         """Sends one request."""
-        self.sent[request_id] = ip
+        self.request_hosts[request_id] = ip
         try:
             res = self.site.ask(path, "key-1", ip, **{"Attempt-Id": request_id})
             body = res.read()
@@ -135,10 +135,10 @@
         echoed = res.headers.get("Attempt-Id", "")
         return Answer(request_id, path, ip, res.status, body, echoed)
 
-    def end_engines(self, seed: int) -> None:
+    def send_fatal(self, seed: int) -> None:
         """Sends the fatal request until stopped; runs in a thread."""
         rng = random.Random(seed)
-        while not self.stopped.wait(rng.uniform(*FATAL_GAP_S)):
+        while not self.stopped.wait(rng.uniform(*FATAL_INTERVAL_S)):
             name = f"fatal-{len(self.fatal)}"
             self.fatal[name] = time.monotonic()
             body = FATAL.encode()
@@ -151,20 +151,20 @@
                 # The host is failing, or the answer was cut off.
                 continue
 
-    def begin_fatal(self, seed: int) -> None:
+    def start_fatal(self, seed: int) -> None:
         """Starts to send the fatal request and to replace crashed engines."""
         self.site.crash_on = FATAL
         for name in self._list_victims("engine_"):
             self.site.set_crash(name)
         for work, args in (
-            (self.end_engines, (seed,)),
-            (self.replace_ended, ()),
+            (self.send_fatal, (seed,)),
+            (self.replace_crashed, ()),
         ):
             threading.Thread(target=work, args=args, daemon=True).start()
 
-    def replace_ended(self) -> None:
+    def replace_crashed(self) -> None:
         """Replaces engines that a request has crashed; runs in a thread."""
-        while not self.stopped.wait(AWAY_S):
+        while not self.stopped.wait(REPLACE_INTERVAL_S):
             for name in self._list_victims("engine_"):
                 process = self.site.stage.processes[name].popen
                 if process.poll() is not None and name not in self.busy:
@@ -172,7 +172,7 @@
                     self.replace(name, 0.0, False)
                     self.busy.discard(name)
 
-    def fail(self) -> None:
+    def inject_fault(self) -> None:
         """Starts one fault in its own thread, which also ends it."""
         faults = {
             **FAULTS,
@@ -180,7 +180,7 @@
             **(ASKING if self.has_asking else {}),
         }
         name = self.rng.choice(sorted(faults))
-        lasts_s = self.rng.uniform(*LASTS_S)
+        lasts_s = self.rng.uniform(*FAULT_DURATION_S)
         victims = self._list_victims(name)
         if not victims:
             # All of them are being replaced.
@@ -193,14 +193,14 @@
 
         def run() -> None:
             try:
-                self.troubled[victim].append(time.monotonic())
+                self.fault_times[victim].append(time.monotonic())
                 faults[name](self, victim, lasts_s)
             except RuntimeError:
                 # A request has crashed the target: it does not answer.
                 if self.site.stage.processes[victim].popen.poll() is None:
                     raise
             finally:
-                self.troubled[victim].append(time.monotonic())
+                self.fault_times[victim].append(time.monotonic())
                 self.busy.discard(victim)
 
         threading.Thread(target=run, daemon=True).start()
@@ -218,7 +218,7 @@
         """Sets faults of a stand-in for `lasts_s` seconds."""
         self.site.set_fault(name, faults)
         time.sleep(lasts_s)
-        self.site.set_fault(name, {k: CALM[k] for k in faults})
+        self.site.set_fault(name, {k: FAULTS_OFF[k] for k in faults})
 
     def cut(self, name: str, lasts_s: float) -> None:
         """Makes an engine cut a stream off; every second time none resumes it.
@@ -268,9 +268,9 @@
         process.popen.wait()
         sites.start_host(self.site, ip)
 
-    def replace(self, name: str, lasts_s: float, is_told: bool) -> None:
-        """Kills an upstream, after a drain if `is_told`; starts another one."""
-        if is_told:
+    def replace(self, name: str, lasts_s: float, is_drained: bool) -> None:
+        """Kills an upstream, after a drain if asked to, and starts another."""
+        if is_drained:
             with self.site.entries_lock:
                 self.site.entries[name]["state"] = "draining"
             time.sleep(sites.DRAIN_S)
@@ -280,21 +280,23 @@
         self.starts += 1
         self.site.start_upstream(f"{name[0]}n{self.starts}")
 
-    def bid_farewell(self, name: str, lasts_s: float) -> None:
+    def drain_in_answers(self, name: str, lasts_s: float) -> None:
         """Drains an upstream that announces it only in its answers."""
         self.site.set_fault(name, {"leaving": True})
         time.sleep(2 * sites.DRAIN_S)
         self.replace(name, lasts_s, False)
 
-    def find(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         """Returns the violations seen in the soak."""
         runs = self.count_runs()
         found = [f for a in self.answers if (f := check(a, runs[a.id]))]
         for name, process in self.site.stage.processes.items():
-            came = asking.read_arrivals(list(process.lines), self.sent)
-            found += asking.find_violations(name, came, self.troubled)
+            arrivals = asking.read_arrivals(
+                list(process.lines), self.request_hosts
+            )
+            found += asking.find_violations(name, arrivals, self.fault_times)
         late = count_late(self.fatal, runs)
-        if late > LATE_MOST:
+        if late > MAX_LATE_RUNS:
             found.append(f"what ended three engines reached {late} more")
         return found
 
@@ -311,9 +313,13 @@
 def check(answer: Answer, runs: int) -> str:
     """Returns the violation in an answer; empty if there is none."""
     told = f"{answer.id} {answer.path} at {answer.host}: "
-    if answer.path == ONCE and runs > 1:
+    if answer.path == NON_IDEMPOTENT_PATH and runs > 1:
         return f"{told}ran {runs} times"
-    if answer.path == ONCE and answer.status in NOT_RUN and runs:
+    if (
+        answer.path == NON_IDEMPOTENT_PATH
+        and answer.status in NOT_RUN_STATUSES
+        and runs
+    ):
         return f"{told}answered {answer.status}, though it ran"
     if answer.status != 200:
         return ""
@@ -343,12 +349,12 @@
             late += runs.get(name, 0)
         ended += runs.get(name, 0)
         if ended >= 3 and bound_s == math.inf:
-            bound_s = at_s + CONTACT_S
+            bound_s = at_s + QUARANTINE_DEADLINE_S
     return late
 
 
 # Values of the faults when off.
-CALM: Final[dict[str, Any]] = {
+FAULTS_OFF: Final[dict[str, Any]] = {
     "down": False,
     "refuse": False,
     "lose": False,
@@ -388,7 +394,7 @@
     "plain_limit": lambda s, n, t: s.set_fault(n, 5 * t, limit="2"),
     "plain_limit_low": lambda s, n, t: s.set_fault(n, 5 * t, limit="0.2"),
     "plain_rest": lambda s, n, t: s.set_fault(n, 3 * t, rest_s="1.5"),
-    "plain_farewell": lambda s, n, t: s.bid_farewell(n, t),
+    "plain_farewell": lambda s, n, t: s.drain_in_answers(n, t),
 }
 
 # Added by ``--copies``; three times as likely as each of the others.
@@ -416,9 +422,9 @@
         has_asking=has_asking,
     )
     if has_fatal:
-        soak.begin_fatal(seed)
+        soak.start_fatal(seed)
     callers = [
-        threading.Thread(target=soak.call, args=(i,), daemon=True)
+        threading.Thread(target=soak.run_caller, args=(i,), daemon=True)
         for i in range(CALLERS * hosts)
     ]
     try:
@@ -426,13 +432,13 @@
             caller.start()
         end_s = time.monotonic() + seconds
         while time.monotonic() < end_s:
-            time.sleep(soak.rng.uniform(*GAP_S))
-            soak.fail()
+            time.sleep(soak.rng.uniform(*FAULT_INTERVAL_S))
+            soak.inject_fault()
         stage.wait_until(lambda: not soak.busy, 60.0, "all faults are over")
         soak.stopped.set()
         for caller in callers:
             caller.join(20.0)
-        found = soak.find()
+        found = soak.find_violations()
         for ip in soak.ips:
             try:
                 sites.wait_serving(site, ip)
