--- a/bench/saturation.py
+++ b/bench/saturation.py
@@ -42,7 +42,7 @@
 
 def start_bed(limit: int = 0) -> Bed:
     """Starts the scene with three workspaces of unlike priority."""
-    scene.KINDS.update(SPEEDS)
+    scene.LAYERS_PER_S.update(SPEEDS)
     play = scene.Scene()
     play.router_cfg = {
         "limits": {"streams": 400, "queue_length": 64},
--- a/tests/catalog/copies.py
+++ b/tests/catalog/copies.py
@@ -142,8 +142,8 @@
     @stateful.rule(back=st.integers(1, 6), others=st.integers(0, 2))
     def copy(self, back: int, others: int) -> None:
         """The store is restored from a copy."""
-        self.log.copy(back)
-        self.versions.copy(others)
+        self.log.restore(back)
+        self.versions.restore(others)
 
     @stateful.rule(which=HOST)
     def read(self, which: int) -> None:
@@ -161,7 +161,7 @@
     def pass_time(self, seconds: float) -> None:
         """Advances the clock; if far, entries lapse and all hosts read."""
         self.now_s += seconds
-        if seconds > listing.LAPSE_S:
+        if seconds > listing.ENTRY_TTL_S:
             self._lapse()
             self._read_all()
 
@@ -201,7 +201,7 @@
     def teardown(self) -> None:
         """Checks the lists after all have written, lapsed and read."""
         for _ in range(4):
-            self.now_s += listing.LAPSE_S + 0.1
+            self.now_s += listing.ENTRY_TTL_S + 0.1
             for number in self.servers:
                 self.beat(number)
             self._lapse()
--- a/tests/exact.py
+++ b/tests/exact.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class _Wanted:
+class _Requirements:
     """Requirements of a request on each part of its path."""
 
     tokens: float
@@ -29,7 +29,7 @@
 
 
 def find_path(
-    cards: Sequence[paths.Candidate],
+    engines: Sequence[paths.Candidate],
     layers: int,
     tokens: float,
     home: str,
@@ -39,7 +39,7 @@
     """Returns the cheapest path with free capacity for a request.
 
     Args:
-        cards: Usable engines.
+        engines: Usable engines.
         layers: Layers of the model.
         tokens: Cache memory required on each layer, in tokens.
         home: Data centre from which the request is sent.
@@ -50,8 +50,8 @@
         None if no engines with free capacity cover all layers.
     """
     costs = costs or paths.Costs()
-    request = _Wanted(tokens, longest_pass_s)
-    bounds = _find_bounds(cards, layers)
+    request = _Requirements(tokens, longest_pass_s)
+    bounds = _find_bounds(engines, layers)
     best: dict[int, dict[str, _Best]] = {0: {home: _Best(0.0, ())}}
     for i, bound in enumerate(bounds):
         if bound >= layers:
@@ -60,10 +60,10 @@
             if len(here.parts) >= paths.MAX_PARTS:
                 continue
             used = {p.id for p in here.parts}
-            for card in cards:
-                if not card.first <= bound < card.last or card.id in used:
+            for engine in engines:
+                if not engine.first <= bound < engine.last or engine.id in used:
                     continue
-                _extend(best, here, place, card, bounds[i:], request, costs)
+                _extend(best, here, place, engine, bounds[i:], request, costs)
     found = min(
         best.get(layers, {}).values(), key=lambda b: b.cost, default=None
     )
@@ -74,37 +74,39 @@
     best: dict[int, dict[str, _Best]],
     here: _Best,
     place: str,
-    card: paths.Candidate,
+    engine: paths.Candidate,
     bounds: Sequence[int],
-    request: _Wanted,
+    request: _Requirements,
     costs: paths.Costs,
 ) -> None:
     """Tries an engine from the first boundary to each later one it holds."""
     bound = bounds[0]
     joined = costs.hop_s if here.parts else 0.0
-    if card.data_centre != place:
+    if engine.data_centre != place:
         joined += costs.cross_s if here.parts else costs.entry_s
     for end in bounds[1:]:
-        if end > card.last:
+        if end > engine.last:
             return
         wanted = (end - bound) * request.tokens
-        if wanted > card.free:
+        if wanted > engine.free:
             return
-        if (end - bound) * card.pass_s > request.longest_pass_s:
+        if (end - bound) * engine.pass_s > request.longest_pass_s:
             return
-        fullness = costs.fullness_weight * wanted / card.free if wanted else 0.0
-        cost = here.cost + joined + (end - bound) * card.layer_s
+        fullness = (
+            costs.fullness_weight * wanted / engine.free if wanted else 0.0
+        )
+        cost = here.cost + joined + (end - bound) * engine.layer_s
         cost += costs.hop_s * fullness
         there = best.setdefault(end, {})
-        known = there.get(card.data_centre)
+        known = there.get(engine.data_centre)
         if known is None or cost < known.cost:
-            part = paths.Part(card.id, card.address, bound, end)
-            there[card.data_centre] = _Best(cost, (*here.parts, part))
+            part = paths.Part(engine.id, engine.address, bound, end)
+            there[engine.data_centre] = _Best(cost, (*here.parts, part))
 
 
-def _find_bounds(cards: Sequence[paths.Candidate], layers: int) -> list[int]:
+def _find_bounds(engines: Sequence[paths.Candidate], layers: int) -> list[int]:
     bounds = {0, layers}
-    for card in cards:
-        bounds.add(card.first)
-        bounds.add(min(card.last, layers))
+    for engine in engines:
+        bounds.add(engine.first)
+        bounds.add(min(engine.last, layers))
     return sorted(bounds)
--- a/tests/listing.py
+++ b/tests/listing.py
@@ -27,7 +27,7 @@
 BORN_MS: Final = 1_764_700_000_000
 
 # Time after which an entry expires unless it is written again, in seconds.
-LAPSE_S: Final = bounds.Bounds().entry_ttl_s
+ENTRY_TTL_S: Final = bounds.Bounds().entry_ttl_s
 
 
 @attrs.define
@@ -44,7 +44,7 @@
         raw = value if isinstance(value, bytes) else orjson.dumps(value)
         self.records.append((key, b"" if value is None else raw))
 
-    def copy(self, back: int) -> None:
+    def restore(self, back: int) -> None:
         """Restores the log from a copy that lacks the last `back` records."""
         del self.records[max(0, len(self.records) - back) :]
         self.era += 1
@@ -89,7 +89,7 @@
         self.broker = broker.Broker("kl-hall", fleets.BUDGET, random.Random(7))
         self.topic = store.make_upstreams_topic(
             log,  # type: ignore[arg-type]
-            LAPSE_S,
+            ENTRY_TTL_S,
             clock,
         )
         self.position: positions.Position | None = None
--- a/tests/run.py
+++ b/tests/run.py
@@ -25,14 +25,21 @@
 KNOWN_RED: Final = ROOT / "KNOWN-RED.txt"
 
 # A feature that takes longer is killed and counts as failed.
-LONGEST_S: Final = 300.0
+TIMEOUT_S: Final = 300.0
 
 # Features run in parallel: half of the processors, since some scenarios start
 # ten processes that must not wait for each other.
 JOBS: Final = max(2, (os.cpu_count() or 2) // 2)
 
 # Folders whose scenarios start processes; they take longest and run first.
-SLOW: Final = ("daemons", "intents", "orders", "claims", "delivery", "bench")
+SLOW_FOLDERS: Final = (
+    "daemons",
+    "intents",
+    "orders",
+    "claims",
+    "delivery",
+    "bench",
+)
 
 _COUNTS: Final = re.compile(
     r"^(\d+) scenarios? passed, (\d+) failed(?:, (\d+) error)?", re.MULTILINE
@@ -69,7 +76,7 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
-            timeout=LONGEST_S,
+            timeout=TIMEOUT_S,
             check=False,
         )
         output, code = done.stdout, done.returncode
@@ -106,7 +113,7 @@
     """Returns all features, the slowest first."""
 
     def rank(path: pathlib.Path) -> tuple[bool, int]:
-        is_slow = path.parent.name in SLOW
+        is_slow = path.parent.name in SLOW_FOLDERS
         return not is_slow, -path.read_text("utf-8").count("Scenario")
 
     found = sorted((ROOT / "tests").rglob("*.feature"), key=rank)
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -20,7 +20,7 @@
 LAYERS: Final = 32
 
 # Speeds of the two kinds of accelerators, in layers per second.
-KINDS: Final = {"fast": 16_000.0, "slow": 8_000.0}
+LAYERS_PER_S: Final = {"fast": 16_000.0, "slow": 8_000.0}
 
 
 @attrs.frozen
@@ -44,7 +44,7 @@
     control_cfg: dict[str, Any] = attrs.Factory(dict)
     router_cfg: dict[str, Any] = attrs.Factory(dict)
     # Address of the middlebox in front of the log; empty if there is none.
-    box_address: str = ""
+    middlebox_address: str = ""
 
     def start_platform(
         self,
@@ -86,14 +86,14 @@
         name: str,
         data_centre: str,
         kind: str = "fast",
-        room: int = LAYERS,
+        capacity: int = LAYERS,
         rack: str = "r1",
         slots: int = 16,
         checks_fence: bool = True,
         behind: bool = False,
     ) -> None:
         """Starts and lists an engine; `behind` puts a middlebox in front."""
-        args = ["--name", name, "--layers-per-s", str(KINDS[kind])]
+        args = ["--name", name, "--layers-per-s", str(LAYERS_PER_S[kind])]
         args += ["--slots", str(slots)]
         args += ["--weights", self.processes["weights"].address]
         if checks_fence:
@@ -114,8 +114,8 @@
             address=address,
             rack=rack,
             accelerator=kind,
-            memory_bytes=room * 1_000_000,
-            layers_per_s=KINDS[kind],
+            memory_bytes=capacity * 1_000_000,
+            layers_per_s=LAYERS_PER_S[kind],
             slots=slots,
             link_bytes_s=1e9,
             checks_fence=checks_fence,
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -19,7 +19,7 @@
 
 from egretspur import codec, transport
 
-START_S: Final = 20.0
+START_TIMEOUT_S: Final = 20.0
 
 
 @attrs.define
@@ -90,7 +90,7 @@
         threading.Thread(
             target=_read_lines, args=(process, found), daemon=True
         ).start()
-        if not found.wait(START_S) or not process.address:
+        if not found.wait(START_TIMEOUT_S) or not process.address:
             raise RuntimeError(f"{name} did not start: {process.lines}")
         return process
 
--- a/tests/steps/copies_steps.py
+++ b/tests/steps/copies_steps.py
@@ -61,7 +61,7 @@
 
 @when('the store loses the last {lost:d} records, and "{names}" are written')
 def step_copied(context: Any, lost: int, names: str) -> None:
-    context.log.copy(lost)
+    context.log.restore(lost)
     beat(context, names)
 
 
@@ -215,7 +215,7 @@
     " and configuration {version} comes"
 )
 def step_config_copied(context: Any, lost: int, version: str) -> None:
-    context.log.copy(lost)
+    context.log.restore(lost)
     if version != "none":
         write_config(context, int(version))
     for host in context.hosts:
--- a/tests/steps/intents_steps.py
+++ b/tests/steps/intents_steps.py
@@ -34,7 +34,7 @@
             play.start_engine(f"{short}-{rack}-b", place, "slow", 16, rack)
         for number in (1, 2):
             if short == "pg":
-                play.control_cfg = {"platform": {"log": play.box_address}}
+                play.control_cfg = {"platform": {"log": play.middlebox_address}}
             play.start_entry(f"{short}-{number}", place)
     play.control_cfg = {}
     wait_leases(play, CONTROLS, 2)
@@ -44,7 +44,7 @@
     """Starts a middlebox between one data centre and the log."""
     target = play.processes["log"].address
     play.start("box", "tests.fakes.middlebox", "--target", target)
-    play.box_address = play.call("GET", "box", "/address")["address"]
+    play.middlebox_address = play.call("GET", "box", "/address")["address"]
 
 
 def wait_leases(
