--- a/tests/fakes/replica.py
+++ b/tests/fakes/replica.py
@@ -134,13 +134,13 @@
             "Attempt-Id": fields.get("Attempt-Id", ""),
             "Replica-Signature": f"sig-{replica.name}",
         }
-        wish = read_demand(replica)
-        if wish:
+        demand = read_demand(replica)
+        if demand:
             # `tests.asking` reads this to check that hosts complied.
-            head.update(wish)
-            print_demand(fields.get("Attempt-Id", ""), wish)
+            head.update(demand)
+            print_demand(fields.get("Attempt-Id", ""), demand)
         if replica.faults["rest_s"]:
-            return web.Response(503, {"Not-Executed": "1", **wish}, b"")
+            return web.Response(503, {"Not-Executed": "1", **demand}, b"")
         if replica.faults["refuse"]:
             return web.Response(503, {"Not-Executed": "1"}, b"")
         if fields.get("Target-Replica") != replica.name:
@@ -190,9 +190,9 @@
     return {name: str(value) for name, value in fields.items() if value}
 
 
-def print_demand(request_id: str, wish: Mapping[str, str]) -> None:
+def print_demand(request_id: str, demand: Mapping[str, str]) -> None:
     """Prints the id and time of a request that arrived during a demand."""
-    fields = {"id": request_id, "at_s": time.monotonic(), "wish": wish}
+    fields = {"id": request_id, "at_s": time.monotonic(), "wish": demand}
     # A single write, because other threads print lines as well.
     sys.stderr.write(f"asked {json.dumps(fields)}\n")
     sys.stderr.flush()
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -221,7 +221,7 @@
         **fields: Any,
     ) -> dict[str, Any]:
         """Creates an intent; returns its plan."""
-        wish = {
+        intent = {
             "workspace": workspace,
             "model": MODEL,
             "version": VERSION,
@@ -231,7 +231,7 @@
             **fields,
         }
         path = self.folder / "intent.toml"
-        path.write_text(stage.format_toml(wish), encoding="utf-8")
+        path.write_text(stage.format_toml(intent), encoding="utf-8")
         code, out, err = self.run_cli(
             control, "--json", "intent", "create", str(path), operator=operator
         )
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -312,25 +312,25 @@
 
 def check(answer: Answer, runs: int) -> str:
     """Returns the violation in an answer; empty if there is none."""
-    told = f"{answer.id} {answer.path} at {answer.host}: "
+    request = f"{answer.id} {answer.path} at {answer.host}: "
     if answer.path == NON_IDEMPOTENT_PATH and runs > 1:
-        return f"{told}ran {runs} times"
+        return f"{request}ran {runs} times"
     if (
         answer.path == NON_IDEMPOTENT_PATH
         and answer.status in NOT_RUN_STATUSES
         and runs
     ):
-        return f"{told}answered {answer.status}, though it ran"
+        return f"{request}answered {answer.status}, though it ran"
     if answer.status != 200:
         return ""
     if answer.echoed != answer.id:
-        return f"{told}got the answer of {answer.echoed!r}"
+        return f"{request}got the answer of {answer.echoed!r}"
     if not runs:
-        return f"{told}answered without a run"
+        return f"{request}answered without a run"
     lines = answer.body.decode("utf-8", "replace").split("\n")
     ids = [n[4:] for n in lines if n.startswith("id: ")]
     if answer.path == PATHS[0] and ids != [str(i + 1) for i in range(EVENTS)]:
-        return f"{told}whole, but its events are {ids}"
+        return f"{request}whole, but its events are {ids}"
     return ""
 
 
