--- a/bench/duties.py
+++ b/bench/duties.py
@@ -105,7 +105,7 @@
     """Returns the settings of the measured host."""
     # The ports stay reserved until this returns; the bench opens no other
     # connection before the host binds them.
-    reserved = [sites.hold_port((ip,)) for _ in range(3)]
+    reserved = [sites.reserve_port((ip,)) for _ in range(3)]
     ports = [port for port, _ in reserved]
     return node.HostSettings(
         name="host",
--- a/bench/saturation.py
+++ b/bench/saturation.py
@@ -43,7 +43,7 @@
 
 def start_testbed(limit: int = 0) -> Testbed:
     """Starts the scene with three workspaces, one of higher priority."""
-    scene.KINDS.update(LAYERS_PER_S)
+    scene.LAYERS_PER_S.update(LAYERS_PER_S)
     play = scene.Scene()
     play.router_cfg = {
         "limits": {"streams": 400, "queue_length": 64},
--- a/tests/asking.py
+++ b/tests/asking.py
@@ -1,8 +1,9 @@
-"""What hosts sent to upstreams that asked for less, from the upstreams' words.
+"""Checks that hosts comply with limits, backoffs and drains of upstreams.
 
-The oracle of the soak: replicas print each request that reaches them while they
-ask for something. All callers of a host have ids of their own, so an id names
-its host. Hosts that were started again, paused or stopped since are left out.
+The soak's oracle: replicas print each request that reaches them while they
+request a limit, a backoff or a drain. Each caller sends to one host, so the id
+of a request identifies its host. Requests of a host that was restarted, paused
+or stopped since the demand are not counted.
 """
 
 from __future__ import annotations
@@ -14,37 +15,42 @@
 
 import attrs
 
-# A host is bound so long after the answer; an upstream's limit holds so long
-# after it was first named, in a window, by so much; what may come in a rest.
-TOLD_S: Final = 0.5
-CONTACT_S: Final = 3.0
+# Time after an answer with a demand until its host must comply.
+COMPLY_S: Final = 0.5
+# Time after an upstream's first demand until all hosts together must comply.
+PROPAGATION_S: Final = 3.0
+# Number of requests allowed per window: LIMIT_FACTOR times
+# the limit, plus LIMIT_MARGIN.
 WINDOW_S: Final = 4.0
-SLACK: Final = 1.5
-SPARE: Final = 5
-IN_REST: Final = 2
+LIMIT_FACTOR: Final = 1.5
+LIMIT_MARGIN: Final = 5
+# Number of requests that one host may send during a backoff.
+MAX_IN_BACKOFF: Final = 2
 
-# Requests may come to an upstream for so long after it said that it leaves.
+# Time after an upstream announced its drain in which requests may arrive.
 DRAIN_S: Final = 2.0
 
-# Of one print to the next of an upstream that goes on asking for the same.
-PAUSE_S: Final = 6.0
+# Longest interval between two requests that belong to the same demand.
+MAX_DEMAND_GAP_S: Final = 6.0
 
 
 @attrs.frozen
-class Came:
-    """A request that reached an upstream while it asked for something."""
+class Arrival:
+    """A request that reached an upstream during a demand of that upstream."""
 
     host: str
     at_s: float
-    wish: Mapping[str, str]
+    demand: Mapping[str, str]
 
 
-def read(lines: Iterable[str], hosts: Mapping[str, str]) -> list[Came]:
-    """Returns what an upstream printed.
+def read_arrivals(
+    lines: Iterable[str], hosts: Mapping[str, str]
+) -> list[Arrival]:
+    """Returns the requests that an upstream printed.
 
     Args:
-        lines: Of its output.
-        hosts: By the ids of requests.
+        lines: Lines of its output.
+        hosts: Hosts by request id.
     """
     found = []
     for line in lines:
@@ -52,70 +58,75 @@
             data = json.loads(line.removeprefix("asked "))
             host = hosts.get(data["id"])
             if host is not None:
-                found.append(Came(host, data["at_s"], data["wish"]))
+                found.append(Arrival(host, data["at_s"], data["wish"]))
     return found
 
 
-def find(
-    name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
+def find_violations(
+    name: str,
+    arrivals: Sequence[Arrival],
+    fault_times: Mapping[str, Sequence[float]],
 ) -> list[str]:
-    """Returns what reached an upstream in spite of what it asked for.
+    """Returns the violations of an upstream's demands.
 
     Args:
-        name: Of the upstream.
-        came: What reached it, in order.
-        troubled: When each host was in trouble of its own.
+        name: Name of the upstream.
+        arrivals: Requests that reached it, in order.
+        fault_times: Start and end times of each host's own faults.
     """
     return [
-        *_find_beyond(name, came, troubled),
-        *_find_in_rest(name, came, troubled),
-        *_find_after_leaving(name, came, troubled),
+        *_find_over_limit(name, arrivals, fault_times),
+        *_find_in_backoff(name, arrivals, fault_times),
+        *_find_after_leaving(name, arrivals, fault_times),
     ]
 
 
-def _is_calm(
-    troubled: Mapping[str, Sequence[float]],
+def _is_undisturbed(
+    fault_times: Mapping[str, Sequence[float]],
     host: str,
     from_s: float,
     to_s: float,
 ) -> bool:
-    return not any(from_s - CONTACT_S < t < to_s for t in troubled[host])
+    return not any(from_s - PROPAGATION_S < t < to_s for t in fault_times[host])
 
 
-def _find_beyond(
-    name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
+def _find_over_limit(
+    name: str,
+    arrivals: Sequence[Arrival],
+    fault_times: Mapping[str, Sequence[float]],
 ) -> list[str]:
-    """Returns windows with more than a limit allows, one for each spell."""
+    """Returns the worst window that exceeds a limit, one for each demand."""
     found = []
-    spell: list[Came] = []
-    spells = [spell]
-    for item in (c for c in came if "Server-Limit" in c.wish):
-        if spell and (
-            item.at_s - spell[-1].at_s > PAUSE_S
-            or item.wish["Server-Limit"] != spell[-1].wish["Server-Limit"]
+    episode: list[Arrival] = []
+    episodes = [episode]
+    for item in (c for c in arrivals if "Server-Limit" in c.demand):
+        if episode and (
+            item.at_s - episode[-1].at_s > MAX_DEMAND_GAP_S
+            or item.demand["Server-Limit"] != episode[-1].demand["Server-Limit"]
         ):
-            spell = []
-            spells.append(spell)
-        spell.append(item)
-    for spell in spells:
-        told: dict[str, float] = {}
-        bound: list[float] = []
-        for item in spell:
-            told_s = told.setdefault(item.host, item.at_s)
-            if item.at_s - told_s >= TOLD_S and _is_calm(
-                troubled, item.host, told_s, item.at_s
+            episode = []
+            episodes.append(episode)
+        episode.append(item)
+    for episode in episodes:
+        first_by_host: dict[str, float] = {}
+        counted: list[float] = []
+        for item in episode:
+            first_s = first_by_host.setdefault(item.host, item.at_s)
+            if item.at_s - first_s >= COMPLY_S and _is_undisturbed(
+                fault_times, item.host, first_s, item.at_s
             ):
-                bound.append(item.at_s)
-        if not bound:
+                counted.append(item.at_s)
+        if not counted:
             continue
         allowed = (
-            SLACK * float(spell[0].wish["Server-Limit"]) * WINDOW_S + SPARE
+            LIMIT_FACTOR * float(episode[0].demand["Server-Limit"]) * WINDOW_S
+            + LIMIT_MARGIN
         )
-        since_s = spell[0].at_s + CONTACT_S
+        since_s = episode[0].at_s + PROPAGATION_S
         worst = max(
             (
-                sum(t <= u < t + WINDOW_S for u in bound)
-                for t in bound
+                sum(t <= u < t + WINDOW_S for u in counted)
+                for t in counted
                 if t + WINDOW_S >= since_s
             ),
             default=0,
@@ -125,39 +136,43 @@
     return found
 
 
-def _find_in_rest(
-    name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
+def _find_in_backoff(
+    name: str,
+    arrivals: Sequence[Arrival],
+    fault_times: Mapping[str, Sequence[float]],
 ) -> list[str]:
     worst: collections.Counter[str] = collections.Counter()
-    for asked in came:
-        if "Retry-After" not in asked.wish:
+    for asked in arrivals:
+        if "Retry-After" not in asked.demand:
             continue
-        end_s = asked.at_s + float(asked.wish["Retry-After"])
+        end_s = asked.at_s + float(asked.demand["Retry-After"])
         got = sum(
             c.host == asked.host
-            and asked.at_s + TOLD_S <= c.at_s < end_s
-            and _is_calm(troubled, c.host, asked.at_s, c.at_s)
-            for c in came
+            and asked.at_s + COMPLY_S <= c.at_s < end_s
+            and _is_undisturbed(fault_times, c.host, asked.at_s, c.at_s)
+            for c in arrivals
         )
         worst[asked.host] = max(worst[asked.host], got)
     return [
         f"{name} got {got} from {host} within its rest"
         for host, got in worst.items()
-        if got > IN_REST
+        if got > MAX_IN_BACKOFF
     ]
 
 
 def _find_after_leaving(
-    name: str, came: Sequence[Came], troubled: Mapping[str, Sequence[float]]
+    name: str,
+    arrivals: Sequence[Arrival],
+    fault_times: Mapping[str, Sequence[float]],
 ) -> list[str]:
-    told: dict[str, float] = {}
+    first_by_host: dict[str, float] = {}
     found = []
-    for item in (c for c in came if "Server-Leaving" in c.wish):
-        told_s = told.setdefault(item.host, item.at_s)
-        if item.at_s > told_s + DRAIN_S and _is_calm(
-            troubled, item.host, told_s, item.at_s
+    for item in (c for c in arrivals if "Server-Leaving" in c.demand):
+        first_s = first_by_host.setdefault(item.host, item.at_s)
+        if item.at_s > first_s + DRAIN_S and _is_undisturbed(
+            fault_times, item.host, first_s, item.at_s
         ):
-            late_s = item.at_s - told_s
+            late_s = item.at_s - first_s
             found.append(
                 f"{name} got one from {item.host} {late_s:.1f} s after"
             )
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,27 +1,27 @@
-"""Faults without end on a site of stand-ins, and what must hold of answers.
+"""Fault soak: injects faults into a test site and checks all answers.
 
-``python -m tests.soak [--seed N] [--seconds S] [--hosts N]``. Callers ask every
-host for streams and plain calls while engines, plain replicas, hosts and the
-store fail by a seeded plan. Checked of each request, whatever failed:
+``python -m tests.soak [--seed N] [--seconds S] [--hosts N]``. Callers send
+streams and plain calls to every host while engines, plain replicas, hosts and
+the store fail by a seeded plan. These must hold under any fault:
 
-- a stream that ends whole has every event once and in order;
+- a stream that ends completely has every event once and in order;
 - an answer belongs to its request;
-- what may not be repeated ran once at most, and not at all if its caller was
-  told so;
-- once the faults are over, every host serves again.
+- a non-idempotent request runs at most once, and never if its caller got a
+  status that promises so;
+- after the faults, every host serves again.
 
-With ``--fatal`` a request comes too, every second or so at any host, that ends
-each engine which begins to run it; it may reach three more at most, later than
-3 s after it has ended the third.
+``--fatal`` adds a request, sent every second or so to a random host, that
+crashes each engine which starts it. It may reach at most three more engines
+later than 3 s after it has crashed the third.
 
-With ``--asking`` upstreams name limits, ask for rest and tell that they leave;
-`tests.asking` says what may still reach them.
+``--asking`` makes upstreams request limits, backoffs and drains;
+`tests.asking` defines which requests may still reach them.
 
-With ``--copies`` the store comes back from older copies of itself too.
+``--copies`` also restores the store from older copies of itself.
 
-Prints a JSON line for each finding and one with counts; exit code 1 if anything
-was found. The same seed plans the same faults; which request they meet depends
-on the machine.
+Prints a JSON line for each finding and one with counts; the exit code is 1 if
+there are findings. The same seed gives the same plan of faults; which requests
+they affect depends on the machine.
 """
 
 from __future__ import annotations
@@ -46,50 +46,50 @@
 EVENTS: Final = 5
 
 # Seconds between two faults, and how long one lasts.
-GAP_S: Final = (0.4, 1.6)
-LASTS_S: Final = (0.5, 2.5)
+FAULT_INTERVAL_S: Final = (0.4, 1.6)
+FAULT_DURATION_S: Final = (0.5, 2.5)
 
-# Callers of each host, and what they ask for.
+# Number of callers per host, and the paths that they request.
 CALLERS: Final = 2
 PATHS: Final = ("/notes/x", "/cards/x", "/orders/x")
-ONCE: Final = "/orders/x"
+NON_IDEMPOTENT_PATH: Final = "/orders/x"
 
-# Statuses that promise that a request has not run.
-NOT_RUN: Final = frozenset({408, 421, 429, 503})
+# Statuses which guarantee that a request has not run.
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 
-
-# A request that ends engines, how often it comes, and the seconds between two
-# looks for engines that ended.
+# Body of a request that crashes engines, the interval between two of them, and
+# the interval between two checks for crashed engines, in seconds.
 FATAL: Final = '{"prompt": "fatal"}'
-FATAL_GAP_S: Final = (0.5, 1.5)
-AWAY_S: Final = 1.0
+FATAL_INTERVAL_S: Final = (0.5, 1.5)
+REPLACE_INTERVAL_S: Final = 1.0
 
-# The third end, up to a second after its request was sent, and the time in
-# which hosts need not know of it; and what may reach engines later.
-CONTACT_S: Final = 4.0
-LATE_MOST: Final = 3
+# Time from the fatal request that causes the third crash until hosts must
+# quarantine it: up to 1 s until the crash, and 3 s until all hosts know of it.
+# MAX_LATE_RUNS is the number that may reach engines later.
+QUARANTINE_DEADLINE_S: Final = 4.0
+MAX_LATE_RUNS: Final = 3
 
-# Age of the copy that the store comes back from, in seconds.
+# Age of the copy from which the store is restored, in seconds.
 COPY_BACK_S: Final = 6.0
 
 
 @attrs.frozen
 class Answer:
-    """How a request ended for its caller."""
+    """Outcome of a request for its caller."""
 
     id: str
     path: str
     host: str
-    # 0 if the connection ended without a whole answer.
+    # 0 if the connection ended before the end of the answer.
     status: int
     body: bytes = b""
-    # Request that the answer says it belongs to.
+    # Request id that the answer names.
     echoed: str = ""
 
 
 @attrs.define
 class Soak:
-    """A site under faults, with what was seen."""
+    """A site under faults, with the observed answers."""
 
     site: sites.Site
     ips: Sequence[str]
@@ -97,24 +97,24 @@
     answers: list[Answer] = attrs.Factory(list)
     faults: collections.Counter[str] = attrs.Factory(collections.Counter)
     stopped: threading.Event = attrs.Factory(threading.Event)
-    # Upstreams and hosts that are failing now; one at a time each.
+    # Targets with a current fault; each has at most one at a time.
     busy: set[str] = attrs.Factory(set)
     starts: int = 0
-    # When each request that ends engines was sent, by its id.
+    # Send time of each fatal request, by its id.
     fatal: dict[str, float] = attrs.Factory(dict)
-    # The store comes back from copies too.
+    # Whether the store is also restored from copies.
     has_copies: bool = False
-    # Upstreams ask for less, too.
+    # Whether upstreams also request limits, backoffs and drains.
     has_asking: bool = False
-    # Which host each request was sent to, by its id, and when each host was in
-    # trouble of its own.
-    sent: dict[str, str] = attrs.Factory(dict)
-    troubled: collections.defaultdict[str, list[float]] = attrs.Factory(
+    # Host of each request, by its id, and start and end times of the faults of
+    # each target.
+    request_hosts: dict[str, str] = attrs.Factory(dict)
+    fault_times: collections.defaultdict[str, list[float]] = attrs.Factory(
         lambda: collections.defaultdict(list)
     )
 
-    def call(self, number: int) -> None:
-        """Asks one host again and again; the thread of a caller."""
+    def run_caller(self, number: int) -> None:
+        """Sends requests to one host until stopped; runs in a thread."""
         rng = random.Random(number)
         ip = self.ips[number % len(self.ips)]
         count = 0
@@ -126,7 +126,7 @@
 
     def ask(self, request_id: str, path: str, ip: str) -> Answer:
         """Sends one request."""
-        self.sent[request_id] = ip
+        self.request_hosts[request_id] = ip
         try:
             res = self.site.ask(path, "key-1", ip, **{"Attempt-Id": request_id})
             body = res.read()
@@ -135,10 +135,10 @@
         echoed = res.headers.get("Attempt-Id", "")
         return Answer(request_id, path, ip, res.status, body, echoed)
 
-    def end_engines(self, seed: int) -> None:
-        """Sends the request that ends engines again and again, in a thread."""
+    def send_fatal(self, seed: int) -> None:
+        """Sends the fatal request until stopped; runs in a thread."""
         rng = random.Random(seed)
-        while not self.stopped.wait(rng.uniform(*FATAL_GAP_S)):
+        while not self.stopped.wait(rng.uniform(*FATAL_INTERVAL_S)):
             name = f"fatal-{len(self.fatal)}"
             self.fatal[name] = time.monotonic()
             body = FATAL.encode()
@@ -148,23 +148,23 @@
                     PATHS[0], "key-1", rng.choice(self.ips), body, fields
                 ).read()
             except (urllib3.exceptions.HTTPError, OSError):
-                # Its host is failing, or its answer was cut.
+                # The host is failing, or the answer was cut off.
                 continue
 
-    def begin_fatal(self, seed: int) -> None:
-        """Has the request come that ends engines."""
+    def start_fatal(self, seed: int) -> None:
+        """Starts to send the fatal request and to replace crashed engines."""
         self.site.crash_on = FATAL
         for name in self._list_victims("engine_"):
             self.site.set_crash(name)
         for work, args in (
-            (self.end_engines, (seed,)),
-            (self.replace_ended, ()),
+            (self.send_fatal, (seed,)),
+            (self.replace_crashed, ()),
         ):
             threading.Thread(target=work, args=args, daemon=True).start()
 
-    def replace_ended(self) -> None:
-        """Starts engines anew that a request has ended, in a thread."""
-        while not self.stopped.wait(AWAY_S):
+    def replace_crashed(self) -> None:
+        """Replaces engines that a request has crashed; runs in a thread."""
+        while not self.stopped.wait(REPLACE_INTERVAL_S):
             for name in self._list_victims("engine_"):
                 process = self.site.stage.processes[name].popen
                 if process.poll() is not None and name not in self.busy:
@@ -172,15 +172,15 @@
                     self.replace(name, 0.0, False)
                     self.busy.discard(name)
 
-    def fail(self) -> None:
-        """Begins one fault; it ends by itself, in a thread of its own."""
+    def inject_fault(self) -> None:
+        """Starts one fault in its own thread, which also ends it."""
         faults = {
             **FAULTS,
             **(COPIES if self.has_copies else {}),
             **(ASKING if self.has_asking else {}),
         }
         name = self.rng.choice(sorted(faults))
-        lasts_s = self.rng.uniform(*LASTS_S)
+        lasts_s = self.rng.uniform(*FAULT_DURATION_S)
         victims = self._list_victims(name)
         if not victims:
             # All of them are being replaced.
@@ -193,14 +193,14 @@
 
         def run() -> None:
             try:
-                self.troubled[victim].append(time.monotonic())
+                self.fault_times[victim].append(time.monotonic())
                 faults[name](self, victim, lasts_s)
             except RuntimeError:
-                # A request has ended it meanwhile: it does not answer.
+                # A request has crashed the target: it does not answer.
                 if self.site.stage.processes[victim].popen.poll() is None:
                     raise
             finally:
-                self.troubled[victim].append(time.monotonic())
+                self.fault_times[victim].append(time.monotonic())
                 self.busy.discard(victim)
 
         threading.Thread(target=run, daemon=True).start()
@@ -215,15 +215,15 @@
         return sorted(n for n in self.site.entries if n.startswith(first))
 
     def set_fault(self, name: str, lasts_s: float, **faults: Any) -> None:
-        """Sets faults of a stand-in for some time."""
+        """Sets faults of a stand-in for `lasts_s` seconds."""
         self.site.set_fault(name, faults)
         time.sleep(lasts_s)
-        self.site.set_fault(name, {k: CALM[k] for k in faults})
+        self.site.set_fault(name, {k: FAULTS_OFF[k] for k in faults})
 
     def cut(self, name: str, lasts_s: float) -> None:
-        """Has an engine break a stream off; each second time no other resumes.
+        """Makes an engine cut a stream off; every second time none resumes it.
 
-        The others then fail what is sent to them to be gone on with.
+        The other engines then refuse to resume streams.
         """
         others = []
         if self.faults["engine_cut"] % 2:
@@ -236,42 +236,42 @@
 
     def _set_resumed(self, name: str, status: int) -> None:
         with contextlib.suppress(RuntimeError):
-            # It may have been killed meanwhile.
+            # The engine may have been killed.
             self.site.set_fault(name, {"resumed_status": status})
 
     def copy(self, name: str, lasts_s: float) -> None:
-        """Has the store go away and come back from a copy.
+        """Takes the store down and restores it from a copy.
 
-        Engines and replicas write their entries again by themselves.
+        Upstreams then write their entries again.
         """
         self.set_fault(name, lasts_s, down=True)
         data = {"back_s": COPY_BACK_S, "keep": {"keyed.op": 1}}
         self.site.stage.call("POST", name, "/copy", data)
 
     def pause(self, name: str, lasts_s: float) -> None:
-        """Freezes a process for some time."""
+        """Freezes a process for `lasts_s` seconds."""
         process = self.site.stage.processes[name]
         process.pause()
         time.sleep(lasts_s)
         process.resume()
 
     def kill_host(self, ip: str, lasts_s: float) -> None:
-        """Kills a host and starts it again."""
+        """Kills and restarts a host."""
         self.site.stage.processes[ip].kill()
         time.sleep(lasts_s)
         sites.start_host(self.site, ip)
 
     def stop_host(self, ip: str, lasts_s: float) -> None:
-        """Has a host stop in good order and starts it again."""
+        """Stops a host with SIGTERM and restarts it."""
         process = self.site.stage.processes[ip]
         process.terminate()
         process.popen.wait()
         sites.start_host(self.site, ip)
 
-    def replace(self, name: str, lasts_s: float, is_told: bool) -> None:
-        """Kills an upstream, or has it leave; another one comes."""
-        if is_told:
-            with self.site.beating:
+    def replace(self, name: str, lasts_s: float, is_drained: bool) -> None:
+        """Kills an upstream, after a drain if asked to, and starts another."""
+        if is_drained:
+            with self.site.entries_lock:
                 self.site.entries[name]["state"] = "draining"
             time.sleep(sites.DRAIN_S)
         self.site.stage.processes[name].kill()
@@ -280,26 +280,28 @@
         self.starts += 1
         self.site.start_upstream(f"{name[0]}n{self.starts}")
 
-    def bid_farewell(self, name: str, lasts_s: float) -> None:
-        """Has an upstream leave that tells so only in its answers."""
+    def drain_in_answers(self, name: str, lasts_s: float) -> None:
+        """Drains an upstream that announces it only in its answers."""
         self.site.set_fault(name, {"leaving": True})
         time.sleep(2 * sites.DRAIN_S)
         self.replace(name, lasts_s, False)
 
-    def find(self) -> list[str]:
-        """Returns what is wrong with the answers."""
+    def find_violations(self) -> list[str]:
+        """Returns the violations seen in the soak."""
         runs = self.count_runs()
         found = [f for a in self.answers if (f := check(a, runs[a.id]))]
         for name, process in self.site.stage.processes.items():
-            came = asking.read(list(process.lines), self.sent)
-            found += asking.find(name, came, self.troubled)
+            arrivals = asking.read_arrivals(
+                list(process.lines), self.request_hosts
+            )
+            found += asking.find_violations(name, arrivals, self.fault_times)
         late = count_late(self.fatal, runs)
-        if late > LATE_MOST:
+        if late > MAX_LATE_RUNS:
             found.append(f"what ended three engines reached {late} more")
         return found
 
     def count_runs(self) -> collections.Counter[str]:
-        """Returns how often each request was begun, by all upstreams ever."""
+        """Returns how often each request ran, including on killed upstreams."""
         runs: collections.Counter[str] = collections.Counter()
         for process in self.site.stage.processes.values():
             for line in list(process.lines):
@@ -309,31 +311,35 @@
 
 
 def check(answer: Answer, runs: int) -> str:
-    """Returns what is wrong with an answer; empty if nothing is."""
-    told = f"{answer.id} {answer.path} at {answer.host}: "
-    if answer.path == ONCE and runs > 1:
-        return f"{told}ran {runs} times"
-    if answer.path == ONCE and answer.status in NOT_RUN and runs:
-        return f"{told}answered {answer.status}, though it ran"
+    """Returns the violation in an answer; empty if there is none."""
+    request = f"{answer.id} {answer.path} at {answer.host}: "
+    if answer.path == NON_IDEMPOTENT_PATH and runs > 1:
+        return f"{request}ran {runs} times"
+    if (
+        answer.path == NON_IDEMPOTENT_PATH
+        and answer.status in NOT_RUN_STATUSES
+        and runs
+    ):
+        return f"{request}answered {answer.status}, though it ran"
     if answer.status != 200:
         return ""
     if answer.echoed != answer.id:
-        return f"{told}got the answer of {answer.echoed!r}"
+        return f"{request}got the answer of {answer.echoed!r}"
     if not runs:
-        return f"{told}answered without a run"
+        return f"{request}answered without a run"
     lines = answer.body.decode("utf-8", "replace").split("\n")
     ids = [n[4:] for n in lines if n.startswith("id: ")]
     if answer.path == PATHS[0] and ids != [str(i + 1) for i in range(EVENTS)]:
-        return f"{told}whole, but its events are {ids}"
+        return f"{request}whole, but its events are {ids}"
     return ""
 
 
 def count_late(sent: Mapping[str, float], runs: Mapping[str, int]) -> int:
-    """Returns how often the request reached engines that no more should be.
+    """Returns the number of fatal requests that ran when quarantined.
 
     Args:
-        sent: When it was sent, by id.
-        runs: How often it was begun, by id.
+        sent: Send times of the fatal requests, by id.
+        runs: Number of runs, by id.
     """
     ended = 0
     bound_s = math.inf
@@ -343,12 +349,12 @@
             late += runs.get(name, 0)
         ended += runs.get(name, 0)
         if ended >= 3 and bound_s == math.inf:
-            bound_s = at_s + CONTACT_S
+            bound_s = at_s + QUARANTINE_DEADLINE_S
     return late
 
 
-# What stand-ins do without faults.
-CALM: Final[dict[str, Any]] = {
+# Values of the faults when off.
+FAULTS_OFF: Final[dict[str, Any]] = {
     "down": False,
     "refuse": False,
     "lose": False,
@@ -361,7 +367,7 @@
 
 Fault = Callable[[Soak, str, float], None]
 
-# By name; what comes before the first underscore is what fails.
+# By name; the part before the first underscore is the kind of target.
 FAULTS: Final[dict[str, Fault]] = {
     "engine_cut": lambda s, n, t: s.cut(n, t),
     "engine_refuse": lambda s, n, t: s.set_fault(n, t, refuse=True),
@@ -380,18 +386,18 @@
     "store_pause": lambda s, n, t: s.pause(n, t),
 }
 
-# Beside the others where asked for. What asks for less does so for longer, and
-# one that leaves stays until the end of its process.
+# Added by ``--asking``. Limits and backoffs last longer than other faults; a
+# drain lasts until the end of the upstream's process.
 ASKING: Final[dict[str, Fault]] = {
     "engine_limit": lambda s, n, t: s.set_fault(n, 5 * t, limit="1.5"),
     "engine_rest": lambda s, n, t: s.set_fault(n, 3 * t, rest_s="1.5"),
     "plain_limit": lambda s, n, t: s.set_fault(n, 5 * t, limit="2"),
     "plain_limit_low": lambda s, n, t: s.set_fault(n, 5 * t, limit="0.2"),
     "plain_rest": lambda s, n, t: s.set_fault(n, 3 * t, rest_s="1.5"),
-    "plain_farewell": lambda s, n, t: s.bid_farewell(n, t),
+    "plain_farewell": lambda s, n, t: s.drain_in_answers(n, t),
 }
 
-# Beside the others where asked for, thrice as likely as one of them.
+# Added by ``--copies``; three times as likely as each of the others.
 COPIES: Final[dict[str, Fault]] = {
     f"store_copy{i}": lambda s, n, t: s.copy(n, t) for i in range(3)
 }
@@ -405,7 +411,7 @@
     has_copies: bool = False,
     has_asking: bool = False,
 ) -> tuple[Soak, list[str]]:
-    """Soaks a site; returns what was seen and what is wrong with it."""
+    """Runs a soak; returns its record and the violations."""
     site = sites.start_site(hosts)
     rng = random.Random(seed)
     soak = Soak(
@@ -416,9 +422,9 @@
         has_asking=has_asking,
     )
     if has_fatal:
-        soak.begin_fatal(seed)
+        soak.start_fatal(seed)
     callers = [
-        threading.Thread(target=soak.call, args=(i,), daemon=True)
+        threading.Thread(target=soak.run_caller, args=(i,), daemon=True)
         for i in range(CALLERS * hosts)
     ]
     try:
@@ -426,13 +432,13 @@
             caller.start()
         end_s = time.monotonic() + seconds
         while time.monotonic() < end_s:
-            time.sleep(soak.rng.uniform(*GAP_S))
-            soak.fail()
+            time.sleep(soak.rng.uniform(*FAULT_INTERVAL_S))
+            soak.inject_fault()
         stage.wait_until(lambda: not soak.busy, 60.0, "all faults are over")
         soak.stopped.set()
         for caller in callers:
             caller.join(20.0)
-        found = soak.find()
+        found = soak.find_violations()
         for ip in soak.ips:
             try:
                 sites.wait_serving(site, ip)
