--- a/egretspur/daemons/host.py
+++ b/egretspur/daemons/host.py
@@ -295,7 +295,7 @@
         self._desk.tell(desk.LayersReported(upstream_id, layers))
 
     def get_snapshot(self) -> ranges.FleetSnapshot:
-        """Returns the state by which the keeper places layers."""
+        """Returns the state by which the reconciler places layers."""
 
         def read(state: broker.Broker) -> ranges.FleetSnapshot:
             now_s = time.monotonic()
--- a/egretspur/platform/store.py
+++ b/egretspur/platform/store.py
@@ -260,7 +260,7 @@
         self,
         records: Sequence[handover.Record],
         at: positions.Position,
-        told: handover.MergeInfo | None = None,
+        merge_info: handover.MergeInfo | None = None,
     ) -> feeds.FullState[T]:
         """Replaces the table's values by the newest records.
 
@@ -268,8 +268,10 @@
         the same address, the later one takes precedence.
         """
         ordered = sorted(records, key=lambda r: r.offset)
-        values = self.table.replace(self._decode_records(ordered), at, told)
-        return feeds.FullState(values, at, is_from_peer=told is not None)
+        values = self.table.replace(
+            self._decode_records(ordered), at, merge_info
+        )
+        return feeds.FullState(values, at, is_from_peer=merge_info is not None)
 
     def _decode_records(
         self, records: Sequence[handover.Record]
--- a/egretspur/routing/broker.py
+++ b/egretspur/routing/broker.py
@@ -34,8 +34,8 @@
 # The rest is needed to process its prompt before the objective is missed.
 QUEUE_WAIT_FRACTION: Final = 0.7
 
-# Fraction of its route's `patience_s` that an interrupted answer may wait to be
-# resumed. The rest is needed to process its text once more.
+# Fraction of its route's `caller_silence_s` that an interrupted answer may wait
+# to be resumed. The rest is needed to process its text once more.
 RESUME_WAIT_FRACTION: Final = 0.7
 
 # Minimum delay before a request is sent again to an upstream that refused it:
