--- a/egretspur/platform/upstream.py
+++ b/egretspur/platform/upstream.py
@@ -48,7 +48,7 @@
 
 
 class UpstreamClient:
-    """Sends callers' requests; see `forward.Upstreams`."""
+    """Sends callers' requests; see `forward.AttemptSender`."""
 
     def __init__(
         self,
--- a/egretspur/routing/availability.py
+++ b/egretspur/routing/availability.py
@@ -147,7 +147,7 @@
     ) -> float:
         """Returns the seconds until one more caller retries.
 
-        See `returns.Returns`.
+        See `returns.RetrySchedule`.
         """
         return self._returns.assign_delay_s(key, opening, waiting, now_s)
 
